--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -1,32 +1,31 @@
-// Package streambalancer is the process that takes callers' packets of
-// connections from the fabric and brings them to the targets' agents.
+// Package streambalancer implements the balancer process: it receives callers' packets of
+// connections from the fabric and forwards them to the agents of targets.
 //
-// # The model
+// # Design
 //
-// Decisions about packets are a stream.Steerer's, those about other balancers
-// are in Peers. This package has the sockets and the clock:
+// A stream.Steerer decides where packets go, and Peers tracks the other balancers. This
+// package owns the sockets, the goroutines and the clock:
 //
-//   - the edge takes callers' packets;
-//   - the parcel socket speaks to agents and other balancers;
-//   - a listener at the same port gives the routing table to other balancers;
-//   - the configuration is watched in the platform by one balancer of each
-//     failure domain, and told to the others;
-//   - two balancers of each failure domain are its relays: they tell the other ones
-//     of its targets, and hand on what those tell.
+//   - the edge socket receives callers' packets;
+//   - the parcel socket exchanges parcels with agents and other balancers;
+//   - a TCP listener on the same port serves the routing table to other balancers;
+//   - one balancer of each failure domain watches the configuration in the platform and
+//     notifies the others;
+//   - two balancers of each failure domain are its relays: they send summaries of its targets
+//     to other failure domains and distribute the summaries that they receive.
 //
-// Life spans: a packet's buffer lives until it is sent on; what is remembered of
-// a flow is soft, and losing it costs a search; the routing table lives until
-// the next version; the rest lives as long as the process.
+// A packet's buffer lives until the packet is sent. Flow state is a cache; losing it costs
+// a search. The routing table lives until the next version replaces it. Everything else
+// lives as long as the process.
 //
-// Lock order: Balancer.mu only. It is held while a packet is decided about and
-// sent, which are some microseconds, and never while the platform or a peer is
-// called.
+// Balancer.mu is the only lock. It is held while a packet is handled and sent, which takes
+// some microseconds, and never during a call to the platform or a peer.
 //
 // # Usage
 //
 //	b, err := streambalancer.Start(settings, deps)
 //	...
-//	b.Stop() // planned: not ready at once, serves on, then ends
+//	b.Stop() // planned shutdown: reports not ready, keeps serving for Linger, then ends
 package streambalancer
 
 import (
@@ -53,128 +52,128 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// mostFlows bounds the flows that are remembered, some 400 bytes each. At the size
-// of two years from now a balancer sees 16,000.
-const mostFlows = 65536
+// maxFlows bounds the flow cache. An entry takes some 400 bytes. At the size planned for in
+// two years a balancer sees 16,000 flows.
+const maxFlows = 65536
 
-// Source reads the routing table from where operators keep it.
+// Source reads the routing table from the store in which operators keep it.
 type Source interface {
-	// Read returns the present version.
+	// Read returns the current version.
 	Read(ctx context.Context) (*routing.Table, error)
 	// Wait returns the next change after a revision.
 	Wait(ctx context.Context, revision uint64) (Change, error)
 }
 
-// Change is what a Source has seen after a revision.
+// Change is the result of Source.Wait.
 type Change struct {
-	// Table is the latest version; nil where none came within the source's own
-	// patience.
+	// Table is the latest version, or nil if there was none before the source's own
+	// timeout.
 	Table *routing.Table
-	// Revision is where the next wait goes on.
+	// Revision is the revision from which to continue the wait.
 	Revision uint64
 }
 
-// Settings are what a balancer is told at start.
+// Settings configure a Balancer.
 type Settings struct {
 	Name   string
 	Domain string
-	// Regions tells in which region each failure domain lies.
+	// Regions maps each failure domain to its region.
 	Regions map[string]string
-	// Share is the process's part of a core, in thousandths; zero when not known. Those
-	// with more take duties first.
-	Share uint32
-	// Edge takes callers' packets.
+	// CPUShare is the process's share of a core, in thousandths; zero if unknown. Balancers
+	// with a larger share are preferred as relays and watchers.
+	CPUShare uint32
+	// Edge is the address that receives callers' packets.
 	Edge netip.AddrPort
-	// Parcels is where other processes reach this one, over UDP and TCP.
+	// Parcels is the address for other processes, over UDP and TCP.
 	Parcels netip.AddrPort
-	// FlowLife is how long a flow may live.
-	FlowLife clock.Millis
-	// Linger is how long a stopping balancer serves on, until the fabric has
+	// FlowTTL is the maximum lifetime of a flow.
+	FlowTTL clock.Millis
+	// Linger is how long a stopping balancer continues to serve, until the fabric has
 	// noticed that it is not ready.
 	Linger clock.Millis
-	// Seeds are balancers to join through.
+	// Seeds are addresses of balancers for bootstrapping.
 	Seeds []netip.AddrPort
-	// Checkpoint bounds what is kept of targets' flows.
+	// Checkpoint limits the checkpoints of targets' flows.
 	Checkpoint checkpoint.KeeperSettings
 }
 
-// Deps are what a balancer works with.
+// Deps are the dependencies of a Balancer.
 type Deps struct {
 	Codec     segment.Codec
 	Source    Source
 	Directory *directory.Directory
-	// Orders tells which failure domains are evacuated; nil where none ever is.
-	Orders Orders
-	// Sheets keeps the checkpoints of the failure domain; nil if they are not kept.
-	Sheets Sheets
-	Clock  clock.Clock
-	Log    zerolog.Logger
-	Scope  tally.Scope
+	// Evacuations reads which failure domains are evacuated; nil if the deployment has no
+	// evacuations.
+	Evacuations EvacuationSource
+	// Checkpoints stores the checkpoints of the failure domain; nil if checkpoints are off.
+	Checkpoints CheckpointStore
+	Clock       clock.Clock
+	Log         zerolog.Logger
+	Scope       tally.Scope
 }
 
-// Balancer is one balancer.
+// Balancer is a balancer process.
 type Balancer struct {
-	settings Settings
-	deps     Deps
-	edge     *net.UDPConn
-	parcels  *parcels.Socket
-	link     link
-	callers  writer
-	calls    net.Listener
+	settings      Settings
+	deps          Deps
+	edge          *net.UDPConn
+	parcels       *parcels.Socket
+	parcelSender  parcelSender
+	callerWriter  packetWriter
+	tableListener net.Listener
 
-	mu      sync.Mutex
-	steerer *stream.Steerer
-	peers   *Peers
-	record  *decisions.Recorder
-	leaving bool
-	// told is the digest of the last news to all neighbours, at toldAt.
-	told   uint64
-	toldAt clock.Millis
-	// unannounced are new targets that the neighbours are not told of yet, and
-	// announced is when they were told of some last.
+	mu       sync.Mutex
+	steerer  *stream.Steerer
+	peers    *Peers
+	recorder *decisions.Recorder
+	leaving  bool
+	// sentDigest is the target digest that was last broadcast, and sentDigestAt the time.
+	sentDigest   uint64
+	sentDigestAt clock.Millis
+	// unannounced holds new targets that have not been announced yet, and announcedAt is
+	// the time of the last announcement.
 	unannounced []*wire.Contact
-	announced   clock.Millis
-	relaying    relaying
-	// settled tells that this balancer knows all targets that others do.
+	announcedAt clock.Millis
+	relay       relayState
+	// settled reports whether this balancer knows all targets that the others know.
 	settled bool
-	// watching tells that the last call of the watch was answered.
+	// watching reports whether the platform answered the last call of the watch.
 	watching bool
-	// ordered is when it was last learned that the evacuations are those that are known.
-	ordered clock.Millis
-	// seen is up to which revision the platform's changes were seen; only configure
-	// uses it.
-	seen uint64
-	// stepped is when what was due was looked at last.
-	stepped clock.Millis
+	// evacuationsCheckedAt is when the known evacuations were last confirmed to be current.
+	evacuationsCheckedAt clock.Millis
+	// seenRevision is the latest platform revision that was seen; only syncConfig uses it.
+	seenRevision uint64
+	// lastTick is the time of the last tick.
+	lastTick clock.Millis
 	// keeper collects the checkpoints of the failure domain.
 	keeper *checkpoint.Keeper
-	// keeping tells that this balancer writes them; only keeps uses it.
-	keeping bool
+	// isKeeper reports whether this balancer writes them; only runKeeper uses it.
+	isKeeper bool
 
 	malformed *decisions.Malformed
 	unsent    tally.Counter
 	traffic   *parcels.Traffic
 	forwarded tally.Counter
-	// refused counts questions of other failure domains that were not handed on.
-	refused tally.Counter
-	// updated wakes the loop that reads the platform.
-	updated chan struct{}
-	cancel  context.CancelFunc
-	parts   tasks.Group
+	// refusedQuestions counts questions from other failure domains that were not relayed.
+	refusedQuestions tally.Counter
+	// configWake wakes the loop that syncs the configuration.
+	configWake chan struct{}
+	cancel     context.CancelFunc
+	background tasks.Group
 }
 
-// link sends parcels.
-type link interface {
-	// Send returns the size of what it sent.
+// parcelSender sends parcels.
+type parcelSender interface {
+	// Send returns the number of bytes sent.
 	Send(to netip.AddrPort, p *wire.Parcel) (int, error)
 }
 
-// writer sends packets to callers.
-type writer interface {
+// packetWriter sends packets to callers.
+type packetWriter interface {
 	WriteToUDPAddrPort(packet []byte, to netip.AddrPort) (int, error)
 }
 
-// Start opens the sockets, joins the others and begins to serve.
+// Start opens the sockets, joins the other balancers and begins to serve.
 func Start(settings Settings, deps Deps) (*Balancer, error) {
 	b := newBalancer(settings, deps, uint64(time.Now().UnixMilli()))
 	if err := b.listen(); err != nil {
@@ -182,17 +181,17 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
-	b.parts.Go(b.serveEdge)
-	b.parts.Go(func() { b.parcels.Serve(b.hear) })
-	b.parts.Go(func() { b.serveCalls(ctx) })
-	b.parts.Go(func() { b.ticks(ctx) })
-	b.parts.Go(func() { b.configure(ctx) })
-	b.parts.Go(func() { b.register(ctx) })
-	if deps.Orders != nil {
-		b.parts.Go(func() { b.evacuations(ctx) })
+	b.background.Go(b.serveEdge)
+	b.background.Go(func() { b.parcels.Serve(b.handleParcel) })
+	b.background.Go(func() { b.serveTables(ctx) })
+	b.background.Go(func() { b.runTicker(ctx) })
+	b.background.Go(func() { b.syncConfig(ctx) })
+	b.background.Go(func() { b.register(ctx) })
+	if deps.Evacuations != nil {
+		b.background.Go(func() { b.syncEvacuations(ctx) })
 	}
-	if deps.Sheets != nil {
-		b.parts.Go(func() { b.keeps(ctx) })
+	if deps.Checkpoints != nil {
+		b.background.Go(func() { b.runKeeper(ctx) })
 	}
 	deps.Log.Info().Str("event", "start").Str("domain", settings.Domain).Stringer("edge", settings.Edge).
 		Stringer("parcels", settings.Parcels).Int("seeds", len(settings.Seeds)).Msg("balancer started")
@@ -204,19 +203,19 @@
 	b := &Balancer{
 		settings: settings, deps: deps,
 		steerer: stream.NewSteerer(deps.Clock.Now(), stream.Settings{
-			Domain: settings.Domain, Regions: settings.Regions, Share: settings.Share, Address: settings.Parcels,
-			Evacuates: deps.Orders != nil,
-			Seed:      xxh3.HashString(settings.Name), Flows: mostFlows, FlowLife: settings.FlowLife,
+			Domain: settings.Domain, Regions: settings.Regions, Share: settings.CPUShare, Address: settings.Parcels,
+			Evacuates: deps.Evacuations != nil,
+			Seed:      xxh3.HashString(settings.Name), Flows: maxFlows, FlowLife: settings.FlowTTL,
 		}),
-		record:    decisions.NewRecorder(deps.Log, deps.Scope),
+		recorder:  decisions.NewRecorder(deps.Log, deps.Scope),
 		malformed: decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
 		traffic:   parcels.NewTraffic(deps.Log, deps.Scope),
-		forwarded: deps.Scope.Counter("packets"), refused: deps.Scope.Counter("handon_refused"),
-		updated: make(chan struct{}, 1),
+		forwarded: deps.Scope.Counter("packets"), refusedQuestions: deps.Scope.Counter("handon_refused"),
+		configWake: make(chan struct{}, 1),
 	}
 	b.keeper = checkpoint.NewKeeper(settings.Checkpoint)
 	b.peers = NewPeers(deps.Clock.Now(), Peer{
-		Address: settings.Parcels, Name: settings.Name, Domain: settings.Domain, Share: settings.Share, Epoch: epoch,
+		Address: settings.Parcels, Name: settings.Name, Domain: settings.Domain, CPUShare: settings.CPUShare, Epoch: epoch,
 	}, settings.Seeds)
 	return b
 }
@@ -226,27 +225,27 @@
 	if b.edge, err = parcels.ListenUDP(b.settings.Edge); err != nil {
 		return err
 	}
-	if b.parcels, err = parcels.Listen(b.settings.Parcels, b.deps.Codec, b.unreadable); err != nil {
+	if b.parcels, err = parcels.Listen(b.settings.Parcels, b.deps.Codec, b.noteMalformed); err != nil {
 		return errs.Combine(err, b.edge.Close())
 	}
-	b.link, b.callers = b.parcels, b.edge
-	if b.calls, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(b.settings.Parcels)); err != nil {
+	b.parcelSender, b.callerWriter = b.parcels, b.edge
+	if b.tableListener, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(b.settings.Parcels)); err != nil {
 		return errs.Combine(errs.Wrap(err), b.edge.Close(), b.parcels.Close())
 	}
 	return nil
 }
 
-// SetSeeds adds balancers to join through.
+// SetSeeds adds balancers for bootstrapping.
 func (b *Balancer) SetSeeds(seeds []netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.peers.Seed(b.deps.Clock.Now(), seeds)
+	b.peers.AddSeeds(b.deps.Clock.Now(), seeds)
 }
 
-// serveEdge takes callers' packets.
+// serveEdge handles callers' packets.
 func (b *Balancer) serveEdge() {
-	unreadable := func(from netip.AddrPort, err error) { b.malformed.Note("edge", from, err) }
-	parcels.Packets(b.edge, b.deps.Codec, unreadable, func(seg *segment.Segment, packet []byte) {
+	noteMalformed := func(from netip.AddrPort, err error) { b.malformed.Note("edge", from, err) }
+	parcels.Packets(b.edge, b.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.steerer.Arrive(b.deps.Clock.Now(), seg, packet)
@@ -254,19 +253,19 @@
 	})
 }
 
-// unreadable notes a datagram that is no parcel.
-func (b *Balancer) unreadable(from netip.AddrPort, err error) {
+// noteMalformed records a datagram that is not a valid parcel.
+func (b *Balancer) noteMalformed(from netip.AddrPort, err error) {
 	b.malformed.Note("parcels", from, err)
 }
 
-// hear takes a parcel of an agent or a balancer.
-func (b *Balancer) hear(from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
+// handleParcel handles a parcel from an agent or a balancer.
+func (b *Balancer) handleParcel(from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.deps.Clock.Now()
 	switch p.Verb {
 	case wire.Verb_VERB_NEWS:
-		b.takeNews(now, from, p.News)
+		b.handleNews(now, from, p.News)
 	case wire.Verb_VERB_OWNERS:
 		if p.Owners != nil {
 			n := b.steerer.Inherit(now, p.Owners.Owners)
@@ -276,23 +275,23 @@
 			b.deps.Log.Info().Str("event", "inherited").Stringer("from", from).Int("flows", n).Send()
 		}
 	case wire.Verb_VERB_KEEP:
-		b.takeCheckpoint(from, p.Checkpoint)
+		b.handleCheckpoint(from, p.Checkpoint)
 	case wire.Verb_VERB_SUMMARY:
-		b.hearSummary(now, from, p.Summary)
+		b.handleSummary(now, from, p.Summary)
 	case wire.Verb_VERB_ASK:
 		if !b.steerer.HandOn(now, from, p) {
-			b.refused.Inc(1)
+			b.refusedQuestions.Inc(1)
 		}
 	default:
 		if t, added := b.steerer.Hear(now, from, p, seg); added {
-			b.announce(now, t)
+			b.queueAnnouncement(now, t)
 		}
 	}
 	b.flush()
 }
 
-// flush does what was decided. The lock is held: packets of one flow stay in
-// order.
+// flush sends what the steerer has decided. The caller holds the lock, so that packets of a
+// flow stay in order.
 func (b *Balancer) flush() {
 	out := b.steerer.Take()
 	for _, s := range out.Sends {
@@ -304,35 +303,34 @@
 	for _, r := range out.Resets {
 		packet := b.deps.Codec.Reset(r.Flow, r.Seq)
 		to := netip.AddrPortFrom(r.Flow.Caller.Addr(), b.settings.Edge.Port())
-		if _, err := b.callers.WriteToUDPAddrPort(packet, to); err != nil {
+		if _, err := b.callerWriter.WriteToUDPAddrPort(packet, to); err != nil {
 			b.unsent.Inc(1)
 		}
 	}
-	b.record.Record(out.Events)
+	b.recorder.Record(out.Events)
 }
 
 func (b *Balancer) send(to netip.AddrPort, p *wire.Parcel) {
-	size, err := b.link.Send(to, p)
+	size, err := b.parcelSender.Send(to, p)
 	if err != nil {
 		b.unsent.Inc(1)
 		return
 	}
-	b.traffic.Sent(p.Verb, b.domain(to) != b.settings.Domain, size)
+	b.traffic.Sent(p.Verb, b.domainOf(to) != b.settings.Domain, size)
 }
 
-// domain returns the failure domain of an agent or a balancer, or nothing if that is not
-// known.
-func (b *Balancer) domain(at netip.AddrPort) string {
+// domainOf returns the failure domain of an agent or a balancer, or "" if it is unknown.
+func (b *Balancer) domainOf(at netip.AddrPort) string {
 	if t, ok := b.steerer.Targets.Find(at); ok {
 		return t.Domain
 	}
 	return b.peers.Domain(at)
 }
 
-// Ready says why the balancer is not ready, or nothing.
+// Ready returns why the balancer is not ready, or "" if it is ready.
 //
-// A balancer that reaches no target while it knows some is cut off from them. It
-// says so, and the fabric sends callers to another one.
+// A balancer that knows targets but reaches none is partitioned from them. It reports not
+// ready, so that the fabric sends callers to another balancer.
 func (b *Balancer) Ready() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -351,27 +349,27 @@
 	}
 }
 
-// Stop leaves: the balancer is not ready at once, serves on until the fabric
-// has noticed, and tells the others which flows it knows the owners of.
+// Stop shuts down gracefully: it reports not ready at once, keeps serving until the fabric
+// has noticed, and sends the known owners of flows to the other balancers.
 func (b *Balancer) Stop() {
 	b.mu.Lock()
 	b.leaving = true
-	b.peers.Leave()
+	b.peers.SetLeaving()
 	now := b.deps.Clock.Now()
-	b.leave(now)
+	b.sendLeave(now)
 	flows := b.steerer.Flows()
 	b.mu.Unlock()
-	b.deps.Log.Info().Str("event", "stop").Int("flows", flows).Msg("balancer stops")
+	b.deps.Log.Info().Str("event", "stop").Int("flows", flows).Msg("balancer stopping")
 	time.Sleep(b.settings.Linger.Duration())
 	b.mu.Lock()
 	now = b.deps.Clock.Now()
-	b.leave(now)
+	b.sendLeave(now)
 	b.traffic.Tell(now, true)
 	b.mu.Unlock()
 	b.cancel()
-	err := errs.Combine(errs.Wrap(b.edge.Close()), b.parcels.Close(), errs.Wrap(b.calls.Close()))
+	err := errs.Combine(errs.Wrap(b.edge.Close()), b.parcels.Close(), errs.Wrap(b.tableListener.Close()))
 	if err != nil {
-		b.deps.Log.Warn().Str("event", "stop").Err(err).Msg("sockets did not close")
+		b.deps.Log.Warn().Str("event", "stop").Err(err).Msg("closing sockets failed")
 	}
-	b.parts.Wait()
+	b.background.Wait()
 }
--- a/internal/process/streambalancer/keep.go
+++ b/internal/process/streambalancer/checkpoints.go
@@ -13,58 +13,58 @@
 )
 
 const (
-	// keepTick is the pause between two looks whether checkpoints are to be written,
-	// and reloadPause the mean pause after a load that failed.
-	keepTick    = 250 * time.Millisecond
-	reloadPause = 2 * time.Second
+	// checkpointInterval is how often to check whether checkpoints must be written, and
+	// reloadDelay the mean delay after a failed load.
+	checkpointInterval = 250 * time.Millisecond
+	reloadDelay        = 2 * time.Second
 )
 
-// Sheets is where the checkpoints of a failure domain are kept.
-type Sheets interface {
-	// Load reads one, or returns platform.ErrNotFound, checkpoint.ErrUnreadable or
-	// ErrFormat.
+// CheckpointStore stores the checkpoints of a failure domain, one sheet for each shard.
+type CheckpointStore interface {
+	// Load reads the sheet of a shard, or returns platform.ErrNotFound,
+	// checkpoint.ErrUnreadable or ErrFormat.
 	Load(ctx context.Context, shard int) (checkpoint.Sheet, error)
-	// Write replaces the one that was loaded or written last. platform.ErrConflict
-	// means that another one is there.
+	// Write replaces the sheet that was last loaded or written. platform.ErrConflict means
+	// that the stored sheet is a different one.
 	Write(ctx context.Context, s *checkpoint.Sheet) error
 }
 
-// keeps writes the checkpoints of this failure domain while this balancer is the one
-// that reads the platform's changes for it.
-func (b *Balancer) keeps(ctx context.Context) {
-	pause := keepTick
+// runKeeper writes the checkpoints of the local failure domain while this balancer is the
+// one that watches the platform for it.
+func (b *Balancer) runKeeper(ctx context.Context) {
+	pause := checkpointInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(pause):
 		}
-		pause = keepTick
-		switch wanted := b.wantsKeeping(); {
-		case wanted && !b.keeping:
-			b.setKeeping(b.loadSheets(ctx))
-			if !b.keeping {
-				pause = reloadPause/2 + rand.N(reloadPause)
+		pause = checkpointInterval
+		switch wanted := b.shouldBeKeeper(); {
+		case wanted && !b.isKeeper:
+			b.setKeeper(b.loadShards(ctx))
+			if !b.isKeeper {
+				pause = reloadDelay/2 + rand.N(reloadDelay)
 			}
-		case !wanted && b.keeping:
-			b.setKeeping(false)
+		case !wanted && b.isKeeper:
+			b.setKeeper(false)
 		case wanted:
-			b.writeSheets(ctx)
+			b.writeDueShards(ctx)
 		}
 	}
 }
 
-func (b *Balancer) wantsKeeping() bool {
+func (b *Balancer) shouldBeKeeper() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.watching && !b.leaving
 }
 
-func (b *Balancer) setKeeping(on bool) {
-	if b.keeping == on {
+func (b *Balancer) setKeeper(on bool) {
+	if b.isKeeper == on {
 		return
 	}
-	b.keeping = on
+	b.isKeeper = on
 	b.mu.Lock()
 	b.steerer.SetKeeper(on)
 	if !on {
@@ -74,27 +74,27 @@
 	b.deps.Log.Info().Str("event", "keeper").Bool("keeping", on).Send()
 }
 
-// loadSheets reads what is kept before anything is written: what agents have told an
-// earlier keeper would be lost.
-func (b *Balancer) loadSheets(ctx context.Context) bool {
-	for shard := 0; shard < b.shards(); shard++ {
-		if !b.loadSheet(ctx, shard) {
+// loadShards reads the stored sheets before anything is written. Otherwise what agents sent
+// to an earlier keeper would be lost.
+func (b *Balancer) loadShards(ctx context.Context) bool {
+	for shard := 0; shard < b.shardCount(); shard++ {
+		if !b.loadShard(ctx, shard) {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *Balancer) shards() int {
+func (b *Balancer) shardCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.keeper.Shards()
 }
 
-func (b *Balancer) loadSheet(ctx context.Context, shard int) bool {
+func (b *Balancer) loadShard(ctx context.Context, shard int) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	s, err := b.deps.Sheets.Load(ctx, shard)
+	s, err := b.deps.Checkpoints.Load(ctx, shard)
 	switch {
 	case err == nil:
 		b.mu.Lock()
@@ -104,29 +104,29 @@
 	case errors.Is(err, platform.ErrNotFound):
 		return true
 	case errors.Is(err, checkpoint.ErrUnreadable):
-		b.noCheckpoint(err, "a sheet cannot be read and is replaced")
+		b.reportCheckpointError(err, "stored checkpoint sheet is unreadable and will be replaced")
 		return true
 	default:
-		b.noCheckpoint(err, "a sheet cannot be loaded")
+		b.reportCheckpointError(err, "loading a checkpoint sheet failed")
 		return false
 	}
 }
 
-func (b *Balancer) noCheckpoint(err error, message string) {
+func (b *Balancer) reportCheckpointError(err error, message string) {
 	b.deps.Log.Warn().Str("event", "nocheckpoint").Err(err).Msg(message)
 	b.deps.Scope.Counter("nocheckpoint").Inc(1)
 }
 
-// writeSheets writes what is due, and tells the agents.
-func (b *Balancer) writeSheets(ctx context.Context) {
+// writeDueShards writes the sheets that are due and acknowledges the agents' checkpoints.
+func (b *Balancer) writeDueShards(ctx context.Context) {
 	b.mu.Lock()
 	now := b.deps.Clock.Now()
 	b.keeper.Drop(func(agent netip.AddrPort) bool { return b.steerer.Targets.Left(now, agent) })
-	b.keeper.SetDomains(b.peers.Domains(now))
+	b.keeper.SetDomains(b.peers.DomainCount(now))
 	due := b.keeper.Due(now)
 	b.mu.Unlock()
 	for i := range due {
-		b.writeSheet(ctx, &due[i])
+		b.writeShard(ctx, &due[i])
 	}
 	if len(due) == 0 {
 		return
@@ -136,17 +136,17 @@
 	b.keeper.Rest(b.deps.Clock.Now(), rand.Float64())
 }
 
-func (b *Balancer) writeSheet(ctx context.Context, s *checkpoint.Sheet) {
+func (b *Balancer) writeShard(ctx context.Context, s *checkpoint.Sheet) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := b.deps.Sheets.Write(ctx, s)
+	err := b.deps.Checkpoints.Write(ctx, s)
 	if errors.Is(err, platform.ErrConflict) {
-		b.loadSheet(ctx, s.Shard)
+		b.loadShard(ctx, s.Shard)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
-		b.noCheckpoint(err, "a sheet cannot be written")
+		b.reportCheckpointError(err, "writing a checkpoint sheet failed")
 		b.keeper.Failed(s.Shard)
 		return
 	}
@@ -159,8 +159,8 @@
 	}
 }
 
-// takeCheckpoint takes a part of an agent's checkpoint. The lock is held.
-func (b *Balancer) takeCheckpoint(from netip.AddrPort, c *wire.Checkpoint) {
+// handleCheckpoint handles a part of an agent's checkpoint. The caller holds the lock.
+func (b *Balancer) handleCheckpoint(from netip.AddrPort, c *wire.Checkpoint) {
 	t, ok := b.steerer.Targets.Find(from)
 	if !b.steerer.Keeper() || c == nil || !ok || t.Domain != b.settings.Domain {
 		return
--- a/internal/process/streambalancer/evacuations.go
+++ b/internal/process/streambalancer/evacuations.go
@@ -12,20 +12,20 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Orders reads where operators keep which failure domains are evacuated.
-type Orders interface {
+// EvacuationSource reads from the store which failure domains operators have evacuated.
+type EvacuationSource interface {
 	// Read returns the evacuations in force.
 	Read(ctx context.Context) (evacuation.Snapshot, error)
-	// Wait returns the next snapshot after one: with what has changed, or the same
-	// evacuations at a later revision if nothing has within the source's own patience.
-	// platform.ErrGone means that they have to be read anew.
+	// Wait returns the next snapshot after the given one: a changed one, or the same
+	// evacuations at a later revision if nothing has changed before the source's own
+	// timeout. platform.ErrGone means that they must be read again.
 	Wait(ctx context.Context, after evacuation.Snapshot) (evacuation.Snapshot, error)
 }
 
-// evacuations keeps up to date what is known of the evacuations: some of the balancers that
-// read the configuration's changes read these as well, and tell the others.
-func (b *Balancer) evacuations(ctx context.Context) {
-	pause, retry := joinWait, firstRetry
+// syncEvacuations keeps the known evacuations up to date: some of the balancers that watch
+// the configuration also watch the evacuations, and notify the others.
+func (b *Balancer) syncEvacuations(ctx context.Context) {
+	pause, retry := peerWait, minRetryDelay
 	for {
 		select {
 		case <-ctx.Done():
@@ -34,20 +34,20 @@
 		}
 		var err error
 		if pause, err = b.updateEvacuations(ctx); err == nil {
-			retry = firstRetry
+			retry = minRetryDelay
 			continue
 		}
 		if ctx.Err() == nil {
-			b.deps.Log.Warn().Str("event", "noevacuations").Err(err).Msg("the evacuations cannot be read")
+			b.deps.Log.Warn().Str("event", "noevacuations").Err(err).Msg("reading the evacuations failed")
 		}
 		pause = retry/2 + rand.N(retry/2)
-		retry = min(2*retry, lastRetry)
+		retry = min(2*retry, maxRetryDelay)
 	}
 }
 
-// updateEvacuations makes one step and returns how long to wait for the next one. Where the
-// platform does not answer the watch of the configuration, it is left alone until it does:
-// each call is paid for.
+// updateEvacuations makes one step and returns how long to wait for the next one. While the
+// platform does not answer the watch of the configuration, no other calls are made: each
+// call is billed.
 func (b *Balancer) updateEvacuations(ctx context.Context) (time.Duration, error) {
 	b.mu.Lock()
 	known := b.steerer.Evacuations()
@@ -57,45 +57,45 @@
 	case !known.Known():
 		return 0, b.readEvacuations(ctx)
 	case watches:
-		later, err := b.deps.Orders.Wait(ctx, known)
+		later, err := b.deps.Evacuations.Wait(ctx, known)
 		if errors.Is(err, platform.ErrGone) {
 			return 0, b.readEvacuations(ctx)
 		}
 		if err != nil {
 			return 0, err
 		}
-		b.takeEvacuations(later, "platform")
+		b.setEvacuations(later, "platform")
 		return 0, nil
 	default:
-		return idleWait, nil
+		return idlePollInterval, nil
 	}
 }
 
 func (b *Balancer) readEvacuations(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, firstRead+rand.N(firstRead))
+	ctx, cancel := context.WithTimeout(ctx, initialReadTimeout+rand.N(initialReadTimeout))
 	defer cancel()
-	s, err := b.deps.Orders.Read(ctx)
+	s, err := b.deps.Evacuations.Read(ctx)
 	if err != nil {
 		return err
 	}
-	b.takeEvacuations(s, "platform")
+	b.setEvacuations(s, "platform")
 	return nil
 }
 
-func (b *Balancer) takeEvacuations(s evacuation.Snapshot, from string) {
+func (b *Balancer) setEvacuations(s evacuation.Snapshot, from string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.applyEvacuations(b.deps.Clock.Now(), s, from)
 	b.flush()
 }
 
-// applyEvacuations takes a snapshot, and tells the other balancers at once if it differs.
-// The lock is held.
+// applyEvacuations applies a snapshot, and notifies the other balancers at once if it
+// differs. The caller holds the lock.
 func (b *Balancer) applyEvacuations(now clock.Millis, s evacuation.Snapshot, from string) {
 	before := b.steerer.Evacuations()
 	changed := b.steerer.TakeEvacuations(now, s)
 	if b.steerer.Evacuations().Revision != before.Revision {
-		b.ordered = now
+		b.evacuationsCheckedAt = now
 	}
 	if !changed {
 		return
@@ -103,20 +103,21 @@
 	b.deps.Log.Info().Str("event", "evacuations").Uint64("version", s.Revision).Strs("domains", s.Domains).
 		Str("from", from).Send()
 	b.deps.Scope.Gauge("evacuated").Update(float64(len(s.Domains)))
-	b.tellAll(now)
+	b.broadcastNews(now)
 }
 
-// hearEvacuations takes what another balancer knows. The lock is held.
-func (b *Balancer) hearEvacuations(now clock.Millis, m *wire.Evacuations) {
-	if m == nil || b.deps.Orders == nil {
+// handleEvacuations applies evacuations from another balancer's news. The caller holds the
+// lock.
+func (b *Balancer) handleEvacuations(now clock.Millis, m *wire.Evacuations) {
+	if m == nil || b.deps.Evacuations == nil {
 		return
 	}
 	b.applyEvacuations(now, evacuation.New(m.Revision, m.Domains), "peer")
 }
 
-// evacuationNews is what this balancer tells others of the evacuations, or nothing if it
-// knows nothing of them.
-func (b *Balancer) evacuationNews() *wire.Evacuations {
+// evacuationsMessage returns the known evacuations for the news, or nil if they are
+// unknown.
+func (b *Balancer) evacuationsMessage() *wire.Evacuations {
 	s := b.steerer.Evacuations()
 	if !s.Known() {
 		return nil
--- a/internal/process/streambalancer/evacuations_test.go
+++ b/internal/process/streambalancer/evacuations_test.go
@@ -15,87 +15,90 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// orders stands in for the store: what each call answers, and how many there were.
-type orders struct {
-	read, wait         evacuation.Snapshot
-	readErr, waitErr   error
-	readCalls, waitFor []uint64
+// fakeEvacuationSource returns fixed answers and records its calls.
+type fakeEvacuationSource struct {
+	read, wait               evacuation.Snapshot
+	readErr, waitErr         error
+	readCalls, waitRevisions []uint64
 }
 
-func (o *orders) Read(context.Context) (evacuation.Snapshot, error) {
+func (o *fakeEvacuationSource) Read(context.Context) (evacuation.Snapshot, error) {
 	o.readCalls = append(o.readCalls, o.read.Revision)
 	return o.read, o.readErr
 }
 
-func (o *orders) Wait(_ context.Context, after evacuation.Snapshot) (evacuation.Snapshot, error) {
-	o.waitFor = append(o.waitFor, after.Revision)
+func (o *fakeEvacuationSource) Wait(_ context.Context, after evacuation.Snapshot) (evacuation.Snapshot, error) {
+	o.waitRevisions = append(o.waitRevisions, after.Revision)
 	return o.wait, o.waitErr
 }
 
-// reader returns a balancer with a large part of a core that has run for a while.
-func reader(t *testing.T, o *orders) (*Balancer, *clock.Manual) {
+// newEvacuationReader returns a balancer with a large share of a core that has run for a
+// while.
+func newEvacuationReader(t *testing.T, o *fakeEvacuationSource) (*Balancer, *clock.Manual) {
 	t.Helper()
 	c := &clock.Manual{}
 	c.Add(testNow)
-	b := newBalancer(Settings{Name: "b", Domain: "d", Share: 100, Parcels: peerAddress(0)}, Deps{
-		Codec: plain{}, Orders: o, Clock: c, Log: zerolog.Nop(), Scope: tally.NoopScope,
+	b := newBalancer(Settings{Name: "b", Domain: "d", CPUShare: 100, Parcels: peerAddress(0)}, Deps{
+		Codec: fakeCodec{}, Evacuations: o, Clock: c, Log: zerolog.Nop(), Scope: tally.NoopScope,
 	}, 1)
-	b.link, b.callers = nowhere{t}, nowhere{t}
+	b.parcelSender, b.callerWriter = discardSender{t}, discardSender{t}
 	return b, c
 }
 
-func (b *Balancer) hearPeer(n *wire.News) {
+func (b *Balancer) receiveNews(n *wire.News) {
 	a := peerAddress(1)
 	n.Self = &wire.Contact{Address: nil, Name: "a", Domain: "d", Share: 800}
-	b.hear(a, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: n}, nil)
+	b.handleParcel(a, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: n}, nil)
 }
 
-// An order is given while the store does not answer this balancer: a peer tells it, and no
-// more calls are made for it.
+// Operators evacuate a domain while the store does not answer this balancer. It learns of
+// the evacuation from a peer, and makes no more calls for it.
 func TestEvacuationsFromPeers(t *testing.T) {
-	o := &orders{readErr: platform.ErrUnavailable}
-	b, _ := reader(t, o)
+	o := &fakeEvacuationSource{readErr: platform.ErrUnavailable}
+	b, _ := newEvacuationReader(t, o)
 	if _, err := b.updateEvacuations(t.Context()); err == nil {
-		t.Fatal("the store is away, and no error was told")
+		t.Fatal("the store is unavailable, but no error was returned")
 	}
-	b.hearPeer(&wire.News{Watching: true, Evacuations: &wire.Evacuations{Revision: 7, Domains: []string{"d1"}}})
+	b.receiveNews(&wire.News{Watching: true, Evacuations: &wire.Evacuations{Revision: 7, Domains: []string{"d1"}}})
 	if s := b.steerer.Evacuations(); !s.Has("d1") || s.Revision != 7 {
-		t.Fatalf("after a peer's news: %+v", s)
+		t.Fatalf("after news from a peer: %+v", s)
 	}
-	b.hearPeer(&wire.News{Watching: true, Evacuations: &wire.Evacuations{Revision: 6}})
-	b.hearPeer(&wire.News{Watching: true})
+	b.receiveNews(&wire.News{Watching: true, Evacuations: &wire.Evacuations{Revision: 6}})
+	b.receiveNews(&wire.News{Watching: true})
 	if s := b.steerer.Evacuations(); !s.Has("d1") {
-		t.Error("late news, or none, have undone the order")
+		t.Error("outdated news, or news without evacuations, have reverted the evacuation")
 	}
 	calls := len(o.readCalls)
 	if _, err := b.updateEvacuations(t.Context()); err != nil || len(o.readCalls) != calls {
-		t.Errorf("%v, %d calls more", err, len(o.readCalls)-calls)
+		t.Errorf("%v, %d more calls", err, len(o.readCalls)-calls)
 	}
 }
 
-// The only reader is killed at the order: the next balancer of the failure domain goes on
-// from what it knows, within the time that an order may take.
+// The only watcher of the evacuations is killed as a domain is evacuated. The next balancer
+// of the failure domain continues from the revision that it knows, and learns of the
+// evacuation within the permitted time.
 func TestNextReaderTakesOver(t *testing.T) {
-	o := &orders{wait: evacuation.New(9, []string{"d1"})}
-	b, c := reader(t, o)
-	b.hearPeer(&wire.News{Watching: true, Evacuations: &wire.Evacuations{Revision: 5}})
+	o := &fakeEvacuationSource{wait: evacuation.New(9, []string{"d1"})}
+	b, c := newEvacuationReader(t, o)
+	b.receiveNews(&wire.News{Watching: true, Evacuations: &wire.Evacuations{Revision: 5}})
 	b.watching = true
-	took := clock.Millis(0)
-	for ; took < 5*clock.Second && !b.steerer.Evacuations().Has("d1"); took += idleWaitMillis {
+	elapsed := clock.Millis(0)
+	for ; elapsed < 5*clock.Second && !b.steerer.Evacuations().Has("d1"); elapsed += idlePollMillis {
 		if _, err := b.updateEvacuations(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		c.Add(idleWaitMillis)
+		c.Add(idlePollMillis)
 	}
-	if took > 4200 || !slices.Equal(o.waitFor, []uint64{5}) {
-		t.Errorf("known after %d ms, waited from %v", took, o.waitFor)
+	if elapsed > 4200 || !slices.Equal(o.waitRevisions, []uint64{5}) {
+		t.Errorf("known after %d ms, waited from revisions %v", elapsed, o.waitRevisions)
 	}
 }
 
-const idleWaitMillis = 500 * clock.Millis(1)
+const idlePollMillis = 500 * clock.Millis(1)
 
-// Of five failure domains two have a balancer that reads the evacuations. One of them is
-// lost: the next one reads as soon as it is missed, and one that hears of nobody reads.
+// Of five failure domains two have a balancer that watches the evacuations. When one of
+// them is lost, the next one watches as soon as the loss is detected. A balancer that hears
+// from no other one watches.
 func TestTwoFailureDomainsRead(t *testing.T) {
 	var all []*Peers
 	self := func(i int) Peer {
@@ -104,7 +107,7 @@
 	for i := range 5 {
 		all = append(all, NewPeers(testNow-clock.Minute, self(i), nil))
 	}
-	reads := func(at clock.Millis) string {
+	watchers := func(at clock.Millis) string {
 		who := ""
 		for i, ps := range all {
 			if ps.WatchesEvacuations(at) {
@@ -113,46 +116,47 @@
 		}
 		return who
 	}
-	if got := reads(testNow); got != "abcde" {
-		t.Errorf("%q read while nobody has heard of another one", got)
+	if got := watchers(testNow); got != "abcde" {
+		t.Errorf("%q watch while none has heard from another one", got)
 	}
-	for at := testNow; at < testNow+2*peerLive; at += 500 {
+	for at := testNow; at < testNow+2*peerTimeout; at += 500 {
 		for i, ps := range all {
 			for j := range all {
 				if j != i && (j != 0 || at == testNow) {
-					ps.Hear(at, self(j))
+					ps.Update(at, self(j))
 				}
 			}
 		}
 		want := "ab"
-		if at.Sub(testNow) > peerLive {
+		if at.Sub(testNow) > peerTimeout {
 			want = "abc"
 		}
-		if got := reads(at); got != want {
-			t.Errorf("after %d ms %q read, want %q", at.Sub(testNow), got, want)
+		if got := watchers(at); got != want {
+			t.Errorf("after %d ms %q watch, want %q", at.Sub(testNow), got, want)
 		}
 	}
 }
 
-// The platform is away for long, which the watch of the configuration finds out again and
-// again: nothing else is asked meanwhile, for callers gain nothing by it.
-func TestNoCallsWhileThePlatformIsAway(t *testing.T) {
-	o := &orders{read: evacuation.New(5, nil)}
-	b, _ := reader(t, o)
+// The platform is unavailable for long, and the watch of the configuration keeps detecting
+// that. The evacuations are not read meanwhile: callers would gain nothing by it.
+func TestNoCallsWhilePlatformIsUnavailable(t *testing.T) {
+	o := &fakeEvacuationSource{read: evacuation.New(5, nil)}
+	b, _ := newEvacuationReader(t, o)
 	for range 3 {
 		if _, err := b.updateEvacuations(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(o.readCalls) != 1 || len(o.waitFor) != 0 {
-		t.Errorf("%d reads and %d waits", len(o.readCalls), len(o.waitFor))
+	if len(o.readCalls) != 1 || len(o.waitRevisions) != 0 {
+		t.Errorf("%d reads and %d waits", len(o.readCalls), len(o.waitRevisions))
 	}
 }
 
-// The store has dropped the history since the last word: what is in force is read anew.
-func TestForgottenHistoryIsReadAnew(t *testing.T) {
-	o := &orders{read: evacuation.New(5, []string{"d1"}), waitErr: platform.ErrGone}
-	b, _ := reader(t, o)
+// The store has dropped the history since the known revision. The evacuations in force are
+// read again.
+func TestEvacuationsAreReadAgainAfterHistoryLoss(t *testing.T) {
+	o := &fakeEvacuationSource{read: evacuation.New(5, []string{"d1"}), waitErr: platform.ErrGone}
+	b, _ := newEvacuationReader(t, o)
 	b.watching = true
 	for range 2 {
 		if _, err := b.updateEvacuations(t.Context()); err != nil {
@@ -161,31 +165,31 @@
 		o.read = evacuation.New(30, nil)
 	}
 	if s := b.steerer.Evacuations(); s.Revision != 30 || s.Has("d1") {
-		t.Errorf("known: %+v", s)
+		t.Errorf("evacuations: %+v", s)
 	}
 }
 
-// unreadable is a platform that answers with a configuration that cannot be read.
-type unreadable struct{}
+// unreadableSource is a platform that answers with an invalid configuration.
+type unreadableSource struct{}
 
-func (unreadable) Read(context.Context) (*routing.Table, error) { return nil, routing.ErrInvalid }
-func (unreadable) Wait(context.Context, uint64) (Change, error) {
+func (unreadableSource) Read(context.Context) (*routing.Table, error) { return nil, routing.ErrInvalid }
+
+func (unreadableSource) Wait(context.Context, uint64) (Change, error) {
 	return Change{}, routing.ErrInvalid
 }
 
-// The configuration in the platform cannot be read, which may last: evacuations are read all
-// the same.
+// The configuration in the platform is invalid, which may last. Evacuations are still read.
 func TestUnreadableConfigurationLeavesEvacuations(t *testing.T) {
-	o := &orders{read: evacuation.New(5, nil), wait: evacuation.New(7, []string{"d1"})}
-	b, _ := reader(t, o)
-	b.deps.Source = unreadable{}
+	o := &fakeEvacuationSource{read: evacuation.New(5, nil), wait: evacuation.New(7, []string{"d1"})}
+	b, _ := newEvacuationReader(t, o)
+	b.deps.Source = unreadableSource{}
 	table := &routing.Table{Version: 1}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
 	b.steerer.SetTable(testNow, table)
-	if _, ok := b.update(t.Context()); ok {
-		t.Error("an unreadable version was taken")
+	if _, ok := b.syncConfigOnce(t.Context()); ok {
+		t.Error("an unreadable version was applied")
 	}
 	for range 2 {
 		if _, err := b.updateEvacuations(t.Context()); err != nil {
@@ -193,6 +197,6 @@
 		}
 	}
 	if !b.steerer.Evacuations().Has("d1") {
-		t.Error("the order is not known")
+		t.Error("the evacuation is not known")
 	}
 }
--- a/internal/process/streambalancer/neighbours.go
+++ b/internal/process/streambalancer/neighbours.go
@@ -8,139 +8,138 @@
 )
 
 const (
-	// nearNews and farNews are how often neighbours in the own failure domain and
-	// in others are told what is in force here. Changes are told at once; this
-	// repairs what was lost, and traffic between domains is paid for.
-	nearNews = 500 * clock.Millis(1)
-	farNews  = clock.Second
-	// strangerNews is how often balancers are told that are no neighbours, so
-	// that they keep knowing this one.
-	strangerNews = 20 * clock.Second
-	// silentNews is how often a silent balancer is tried, and firstNews how often
-	// one that was never heard, for firstFor after this process's start: the
-	// others may be starting as well, in any order.
-	silentNews = 2 * clock.Second
-	firstNews  = 200 * clock.Millis(1)
-	firstFor   = 2 * clock.Second
-	// nearNeighbours and farNeighbours bound how many balancers are told
-	// regularly in the own failure domain and in others. What is new to a balancer
-	// goes on to its own neighbours.
-	nearNeighbours = 16
-	farNeighbours  = 4
-	// refreshEvery is how long a choice of neighbours holds while none comes or goes.
-	// Silence is noticed that much later.
-	refreshEvery = 100 * clock.Millis(1)
+	// localNewsInterval and remoteNewsInterval are how often news are sent to neighbours in
+	// the local failure domain and in others. Changes are sent at once; the periodic news
+	// make up for lost ones, and traffic between failure domains is billed.
+	localNewsInterval  = 500 * clock.Millis(1)
+	remoteNewsInterval = clock.Second
+	// nonNeighbourNewsInterval is how often news are sent to balancers that are not
+	// neighbours, so that they keep this balancer among their peers.
+	nonNeighbourNewsInterval = 20 * clock.Second
+	// silentNewsInterval is how often a silent balancer is contacted. startupNewsInterval
+	// applies to one that was never heard from, for startupPeriod after this process's
+	// start: the others may be starting as well, in any order.
+	silentNewsInterval  = 2 * clock.Second
+	startupNewsInterval = 200 * clock.Millis(1)
+	startupPeriod       = 2 * clock.Second
+	// maxLocalNeighbours and maxRemoteNeighbours bound the neighbours in the local failure
+	// domain and in others. A balancer forwards what it learns to its own neighbours.
+	maxLocalNeighbours  = 16
+	maxRemoteNeighbours = 4
+	// neighbourRefreshInterval is how long a selection of neighbours is valid while no peer
+	// comes or goes. It delays the detection of silence by as much.
+	neighbourRefreshInterval = 100 * clock.Millis(1)
 )
 
-// Neighbours returns the balancers that are told regularly: the first by
-// rendezvous with this one that answer, and the relays that this one has to do with. A
-// balancer among hundreds thus has a few neighbours, and all together form one mesh.
+// Neighbours returns the balancers that are sent news regularly: the responsive ones with
+// the highest rendezvous hash, and the relays that this balancer communicates with. So each
+// of hundreds of balancers has few neighbours, and all together form one connected mesh.
 //
 // The result must not be changed.
 func (ps *Peers) Neighbours(now clock.Millis) []*Peer {
-	if ps.refreshed != 0 && now.Sub(ps.refreshed) < refreshEvery {
+	if ps.refreshedAt != 0 && now.Sub(ps.refreshedAt) < neighbourRefreshInterval {
 		return ps.neighbours
 	}
-	var near, far []*Peer
+	var local, remote []*Peer
 	for _, p := range ps.Sorted() {
 		switch {
 		case p.Leaving || p.silent(now):
 		case p.Domain == ps.self.Domain:
-			near = append(near, p)
+			local = append(local, p)
 		default:
-			far = append(far, p)
+			remote = append(remote, p)
 		}
 	}
-	chosen := append(first(near, nearNeighbours), first(far, farNeighbours)...)
-	for _, p := range ps.chooseRelays(now) {
+	chosen := append(topByScore(local, maxLocalNeighbours), topByScore(remote, maxRemoteNeighbours)...)
+	for _, p := range ps.updateRelays(now) {
 		if !p.Leaving && !p.silent(now) && !slices.Contains(chosen, p) {
 			chosen = append(chosen, p)
 		}
 	}
 	for _, p := range ps.Sorted() {
-		// One that has fallen silent stays chosen, or it would no longer count as silent.
+		// A silent peer stays a neighbour; otherwise it would no longer count as silent.
 		if !p.Leaving && !p.silent(now) {
-			p.choose(now, slices.Contains(chosen, p))
+			p.setNeighbour(now, slices.Contains(chosen, p))
 		}
 	}
-	ps.neighbours, ps.refreshed = chosen, now
+	ps.neighbours, ps.refreshedAt = chosen, now
 	return chosen
 }
 
-// Concerned returns the neighbours, and the balancers whose neighbour this one is: they
-// agree with it only once they know what has changed here.
-func (ps *Peers) Concerned(now clock.Millis) []*Peer {
+// ChangeRecipients returns the neighbours and the balancers that have this one as a
+// neighbour: they agree with it only once they know what has changed here.
+func (ps *Peers) ChangeRecipients(now clock.Millis) []*Peer {
 	all := slices.Clone(ps.Neighbours(now))
 	for _, p := range ps.Sorted() {
-		if p.chosen == 0 && p.Chose && p.Live(now) {
+		if p.neighbourSince == 0 && p.ChoseThis && p.Live(now) {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// first returns the first peers by rendezvous.
-func first(peers []*Peer, most int) []*Peer {
+// topByScore returns the peers with the highest scores.
+func topByScore(peers []*Peer, limit int) []*Peer {
 	slices.SortStableFunc(peers, func(a, b *Peer) int { return cmp.Compare(b.score, a.score) })
-	return peers[:min(len(peers), most)]
+	return peers[:min(len(peers), limit)]
 }
 
-// choose notes since when the peer is a neighbour.
-func (p *Peer) choose(now clock.Millis, chosen bool) {
+// setNeighbour updates the time since which the peer is a neighbour.
+func (p *Peer) setNeighbour(now clock.Millis, chosen bool) {
 	switch {
 	case !chosen:
-		p.chosen = 0
-	case p.chosen == 0:
-		p.chosen = now
+		p.neighbourSince = 0
+	case p.neighbourSince == 0:
+		p.neighbourSince = now
 	}
 }
 
-// Due returns the peers to tell now, and notes that they are told.
-func (ps *Peers) Due(now clock.Millis) []*Peer {
+// DueForNews returns the peers to send news to now, and records that they are sent.
+func (ps *Peers) DueForNews(now clock.Millis) []*Peer {
 	ps.Neighbours(now)
 	var due []*Peer
 	for _, p := range ps.Sorted() {
-		if now.Sub(max(p.told, ps.since(p))) >= ps.pause(now, p) {
-			p.told = now
+		if now.Sub(max(p.newsSentAt, ps.newsBaseline(p))) >= ps.newsInterval(now, p) {
+			p.newsSentAt = now
 			due = append(due, p)
 		}
 	}
 	return due
 }
 
-// since is from when on the pause until a peer is told counts: for one that is not
-// greeted at once, from when it was learned.
-func (ps *Peers) since(p *Peer) clock.Millis {
-	if p.Heard != 0 || ps.greets(p) {
+// newsBaseline returns the time from which the interval until the next news counts: when
+// the peer was learned, if it was never heard from and is not contacted at start.
+func (ps *Peers) newsBaseline(p *Peer) clock.Millis {
+	if p.HeardAt != 0 || ps.contactsAtStart(p) {
 		return 0
 	}
-	return p.learned
+	return p.learnedAt
 }
 
-// greets reports that a balancer that was never heard is to be told at once that this
-// one is there: those of the own failure domain, relays of others, and those of which
-// only the address is known. The others hear of it from them.
+// contactsAtStart reports whether a balancer that was never heard from is to be contacted
+// at once: those of the local failure domain, relays of others, and those of which only the
+// address is known. The rest learn of this balancer from them.
 //
-// Among hundreds that return together a word from each to each would keep the smallest
-// ones busy while callers wait.
-func (ps *Peers) greets(p *Peer) bool {
-	return p.Heard == 0 && (p.Domain == "" || p.Domain == ps.self.Domain || p.relay)
+// When hundreds of balancers restart together, news from each to each would keep the
+// smallest ones busy while callers wait.
+func (ps *Peers) contactsAtStart(p *Peer) bool {
+	return p.HeardAt == 0 && (p.Domain == "" || p.Domain == ps.self.Domain || p.isRelay)
 }
 
-func (ps *Peers) pause(now clock.Millis, p *Peer) clock.Millis {
-	choseUs := p.Chose && now.Sub(p.Heard) <= peerLive
+func (ps *Peers) newsInterval(now clock.Millis, p *Peer) clock.Millis {
+	choseUs := p.ChoseThis && now.Sub(p.HeardAt) <= peerTimeout
 	switch {
-	case ps.greets(p) && now.Sub(ps.started) < firstFor:
-		return firstNews
-	case p.Heard == 0 && !ps.greets(p):
-		return strangerNews
+	case ps.contactsAtStart(p) && now.Sub(ps.startedAt) < startupPeriod:
+		return startupNewsInterval
+	case p.HeardAt == 0 && !ps.contactsAtStart(p):
+		return nonNeighbourNewsInterval
 	case p.Leaving || p.silent(now):
-		return silentNews
-	case p.chosen == 0 && !choseUs:
-		return strangerNews
+		return silentNewsInterval
+	case p.neighbourSince == 0 && !choseUs:
+		return nonNeighbourNewsInterval
 	case p.Domain == ps.self.Domain:
-		return nearNews
+		return localNewsInterval
 	default:
-		return farNews
+		return remoteNewsInterval
 	}
 }
--- a/internal/process/streambalancer/news.go
+++ b/internal/process/streambalancer/news.go
@@ -13,47 +13,48 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// ownersPerParcel keeps a parcel with owners below the size of one frame: an
-// owner takes some 36 bytes.
-const ownersPerParcel = 36
+// maxOwnersPerParcel keeps a parcel with owners below the size of one frame: an owner takes
+// some 36 bytes.
+const maxOwnersPerParcel = 36
 
-// announceEvery is the least pause between announcements of new targets. It is part
+// announceInterval is the minimum interval between announcements of new targets. It is part
 // of settleTime, within which neighbours must have heard of a new target.
-const announceEvery = 50 * clock.Millis(1)
+const announceInterval = 50 * clock.Millis(1)
 
-// contactsPerParcel keeps a parcel with contacts below a few frames.
-const contactsPerParcel = 60
+// maxContactsPerParcel keeps a parcel with contacts below a few frames.
+const maxContactsPerParcel = 60
 
-// news is what this balancer, with a view of the targets, tells another one. The lock is
-// held.
-func (b *Balancer) news(view View, to netip.AddrPort) *wire.News {
+// buildNews returns this balancer's news for a peer, with its view of the targets. The
+// caller holds the lock.
+func (b *Balancer) buildNews(view View, to netip.AddrPort) *wire.News {
 	self := &b.peers.self
 	return &wire.News{
-		Chose: b.peers.Chose(to),
+		Chose: b.peers.IsNeighbour(to),
 		Self:  peerContact(self),
 		Epoch: self.Epoch, Digest: view.Digest, Lost: view.Lost, Watching: b.watching, Leaving: b.leaving,
 		Settled: b.settled,
-		Version: b.version(), Evacuations: b.evacuationNews(),
+		Version: b.tableVersion(), Evacuations: b.evacuationsMessage(),
 	}
 }
 
-func contact(a netip.AddrPort, name, domain, service string) *wire.Contact {
+func newContact(a netip.AddrPort, name, domain, service string) *wire.Contact {
 	return &wire.Contact{Address: segment.AppendAddress(nil, a), Name: name, Domain: domain, Service: service}
 }
 
 func peerContact(p *Peer) *wire.Contact {
-	c := contact(p.Address, p.Name, p.Domain, "")
-	c.Share = p.Share
+	c := newContact(p.Address, p.Name, p.Domain, "")
+	c.Share = p.CPUShare
 	return c
 }
 
-// contacts is the targets and balancers that answer this one itself. Hearsay is
-// not told on, or a lost process would be told around for ever.
-func (b *Balancer) contacts(each func(a netip.AddrPort, c func() *wire.Contact)) {
+// eachContact visits the targets and balancers that this balancer hears from directly.
+// Contacts named by third parties are not passed on, or a lost process would circulate
+// forever.
+func (b *Balancer) eachContact(each func(a netip.AddrPort, c func() *wire.Contact)) {
 	now := b.deps.Clock.Now()
 	b.steerer.Targets.Each(func(t *stream.Target) {
 		if t.Heard != 0 && !t.Lost(now) {
-			each(t.Address, func() *wire.Contact { return contact(t.Address, t.Name, t.Domain, t.Service) })
+			each(t.Address, func() *wire.Contact { return newContact(t.Address, t.Name, t.Domain, t.Service) })
 		}
 	})
 	b.peers.Each(func(p *Peer) {
@@ -65,23 +66,23 @@
 	each(self.Address, func() *wire.Contact { return peerContact(self) })
 }
 
-// hash stands for a contact where balancers compare whom they know.
-func hash(a netip.AddrPort) uint64 {
-	var room [8]byte
-	return xxh3.Hash(segment.AppendAddress(room[:0], a))
+// addressHash identifies a contact when balancers compare which ones they know.
+func addressHash(a netip.AddrPort) uint64 {
+	var buf [8]byte
+	return xxh3.Hash(segment.AppendAddress(buf[:0], a))
 }
 
-// view is what this balancer knows of the targets. Two balancers with the same digest have
-// nothing to tell each other. A target that has fallen silent stays in it: balancers notice
-// that at different times.
-func (b *Balancer) view() View {
+// targetView summarizes the targets that this balancer knows. Two balancers with the same
+// digest have nothing to exchange. A target that has become silent stays in the digest, as
+// balancers notice the silence at different times.
+func (b *Balancer) targetView() View {
 	now := b.deps.Clock.Now()
 	v := View{}
 	b.steerer.Targets.Each(func(t *stream.Target) {
 		if t.Heard == 0 {
 			return
 		}
-		h := hash(t.Address)
+		h := addressHash(t.Address)
 		v.Digest ^= h
 		if t.Lost(now) {
 			v.Lost ^= h
@@ -90,35 +91,35 @@
 	return v
 }
 
-// tellNews tells the neighbours that are due. The lock is held.
-func (b *Balancer) tellNews(now clock.Millis) {
-	view := b.view()
+// sendDueNews sends news to the peers that are due. The caller holds the lock.
+func (b *Balancer) sendDueNews(now clock.Millis) {
+	view := b.targetView()
 	digest := view.Digest
-	if digest != b.told && now.Sub(b.toldAt) > newsSoon {
-		b.told, b.toldAt = digest, now
-		b.tellAll(now)
+	if digest != b.sentDigest && now.Sub(b.sentDigestAt) > minChangeNewsInterval {
+		b.sentDigest, b.sentDigestAt = digest, now
+		b.broadcastNews(now)
 	}
-	b.tellAnnounced(now)
+	b.sendAnnouncements(now)
 	b.setSettled(b.peers.Settled(now, digest, func(domain string) bool {
 		return b.steerer.Targets.Complete(now, domain)
 	}))
-	b.steerer.Targets.SetSharers(len(b.peers.Near(now)) + 1)
-	for _, p := range b.peers.Due(now) {
-		n := b.news(view, p.Address)
-		if p.Heard == 0 && b.peers.mayAsk(now, p) {
-			b.question(n)
+	b.steerer.Targets.SetSharers(len(b.peers.LocalPeers(now)) + 1)
+	for _, p := range b.peers.DueForNews(now) {
+		n := b.buildNews(view, p.Address)
+		if p.HeardAt == 0 && b.peers.allowContactRequest(now, p) {
+			b.addContactRequest(n)
 		}
 		b.send(p.Address, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: n})
 	}
-	for _, p := range b.peers.Forget(now) {
+	for _, p := range b.peers.RemoveSilent(now) {
 		b.deps.Log.Info().Str("event", "peergone").Stringer("peer", p.Address).Str("name", p.Name).Send()
-		if p.Name != "" && b.peers.First(now) {
+		if p.Name != "" && b.peers.FirstByName(now) {
 			b.unregister(p)
 		}
 	}
 }
 
-// setSettled tells the decisions whether balancers agree on who there is.
+// setSettled passes to the steerer whether balancers agree on the known targets.
 func (b *Balancer) setSettled(settled bool) {
 	if settled == b.settled {
 		return
@@ -128,47 +129,49 @@
 	b.deps.Log.Info().Str("event", "settled").Bool("settled", settled).Int("targets", b.steerer.Targets.Len()).Send()
 }
 
-// question makes news ask for the contacts that this balancer does not know. It
-// names also those that it no longer hears: it needs not be told of them.
-func (b *Balancer) question(n *wire.News) {
+// addContactRequest makes news request the contacts that this balancer does not know. The
+// known ones include those that it no longer hears from, so that they are not sent again.
+func (b *Balancer) addContactRequest(n *wire.News) {
 	n.Ask = true
-	add := func(a netip.AddrPort) { n.Known = append(n.Known, uint32(hash(a))) }
+	add := func(a netip.AddrPort) { n.Known = append(n.Known, uint32(addressHash(a))) }
 	b.steerer.Targets.Each(func(t *stream.Target) { add(t.Address) })
 	b.peers.Each(func(p *Peer) { add(p.Address) })
 	add(b.peers.self.Address)
 }
 
-// tellAll tells all neighbours and those whose neighbour this balancer is at once: a
-// version has come into force, who is known has changed, or this balancer leaves.
-func (b *Balancer) tellAll(now clock.Millis) {
-	view := b.view()
-	for _, p := range b.peers.Concerned(now) {
-		p.told = now
-		b.send(p.Address, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: b.news(view, p.Address)})
+// broadcastNews sends news at once to all neighbours and all balancers that have this one
+// as a neighbour: after a version was activated, the known targets changed, or this
+// balancer leaves.
+func (b *Balancer) broadcastNews(now clock.Millis) {
+	view := b.targetView()
+	for _, p := range b.peers.ChangeRecipients(now) {
+		p.newsSentAt = now
+		b.send(p.Address, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: b.buildNews(view, p.Address)})
 	}
 }
 
-// announce tells of a target that has just been heard. Several in quick succession are
-// told together.
+// queueAnnouncement announces a target that was heard from for the first time. Several in
+// quick succession are announced together.
 //
-// When all VMs start at once, a datagram for each target and neighbour would take a small
-// balancer's time while callers wait, and every balancer of a failure domain hears the
-// same targets. So only relays tell their neighbours, and the others tell the relays.
-func (b *Balancer) announce(now clock.Millis, t *stream.Target) {
-	b.unannounced = append(b.unannounced, contact(t.Address, t.Name, t.Domain, t.Service))
-	b.tellAnnounced(now)
+// When all VMs start at once, a datagram for each target and neighbour would use up a small
+// balancer's CPU time while callers wait, and every balancer of a failure domain hears from
+// the same targets. So only relays announce to their neighbours, and the others to the
+// relays.
+func (b *Balancer) queueAnnouncement(now clock.Millis, t *stream.Target) {
+	b.unannounced = append(b.unannounced, newContact(t.Address, t.Name, t.Domain, t.Service))
+	b.sendAnnouncements(now)
 }
 
-// tellAnnounced tells of the targets that wait to be announced, if it is time.
-func (b *Balancer) tellAnnounced(now clock.Millis) {
-	if len(b.unannounced) == 0 || now.Sub(b.announced) < announceEvery {
+// sendAnnouncements sends pending announcements if announceInterval has passed.
+func (b *Balancer) sendAnnouncements(now clock.Millis) {
+	if len(b.unannounced) == 0 || now.Sub(b.announcedAt) < announceInterval {
 		return
 	}
-	b.announced = now
-	view := b.view()
-	for all := range slices.Chunk(b.unannounced, contactsPerParcel) {
-		for _, p := range b.peers.Announces(now) {
-			n := b.news(view, p.Address)
+	b.announcedAt = now
+	view := b.targetView()
+	for all := range slices.Chunk(b.unannounced, maxContactsPerParcel) {
+		for _, p := range b.peers.AnnouncementRecipients(now) {
+			n := b.buildNews(view, p.Address)
 			n.Contacts = all
 			b.send(p.Address, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: n})
 		}
@@ -176,51 +179,51 @@
 	b.unannounced = nil
 }
 
-// takeNews takes what another balancer tells. The lock is held.
-func (b *Balancer) takeNews(now clock.Millis, from netip.AddrPort, n *wire.News) {
+// handleNews handles news from another balancer. The caller holds the lock.
+func (b *Balancer) handleNews(now clock.Millis, from netip.AddrPort, n *wire.News) {
 	if n == nil || n.Self == nil {
 		return
 	}
-	fresh := b.peers.Hear(now, Peer{
-		Address: from, Name: n.Self.Name, Domain: n.Self.Domain, Share: n.Self.Share, Epoch: n.Epoch, Version: n.Version,
-		Watching: n.Watching, Leaving: n.Leaving, Settled: n.Settled, Chose: n.Chose,
+	isNew := b.peers.Update(now, Peer{
+		Address: from, Name: n.Self.Name, Domain: n.Self.Domain, CPUShare: n.Self.Share, Epoch: n.Epoch, Version: n.Version,
+		Watching: n.Watching, Leaving: n.Leaving, Settled: n.Settled, ChoseThis: n.Chose,
 		View: View{Digest: n.Digest, Lost: n.Lost},
 	})
-	b.hearEvacuations(now, n.Evacuations)
-	learned := b.learn(now, from, n.Contacts)
+	b.handleEvacuations(now, n.Evacuations)
+	learned := b.learnContacts(now, from, n.Contacts)
 	if n.Complete && !learned {
-		b.peers.Covered(View{Digest: n.Digest, Lost: n.Lost})
+		b.peers.MarkCovered(View{Digest: n.Digest, Lost: n.Lost})
 	}
-	if fresh {
+	if isNew {
 		b.deps.Log.Info().Str("event", "peer").Stringer("peer", from).Str("name", n.Self.Name).
 			Str("domain", n.Self.Domain).Uint64("version", n.Version).Send()
 	}
 	if n.Ask {
-		b.tellContacts(from, n.Known)
+		b.sendContacts(from, n.Known)
 	}
-	view, theirs := b.view(), View{Digest: n.Digest, Lost: n.Lost}
-	if view.Digest != theirs.Digest && b.peers.Ask(now, from, theirs) {
-		q := b.news(view, from)
-		b.question(q)
+	view, theirs := b.targetView(), View{Digest: n.Digest, Lost: n.Lost}
+	if view.Digest != theirs.Digest && b.peers.StartContactRequest(now, from, theirs) {
+		q := b.buildNews(view, from)
+		b.addContactRequest(q)
 		b.send(from, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: q})
 	}
-	if fresh && n.Self.Domain == b.settings.Domain {
-		b.tellOwners(now, from)
+	if isNew && n.Self.Domain == b.settings.Domain {
+		b.sendOwners(now, from)
 	}
-	if n.Version > b.version() {
-		b.wake()
+	if n.Version > b.tableVersion() {
+		b.wakeConfig()
 	}
 }
 
-func (b *Balancer) version() uint64 {
+func (b *Balancer) tableVersion() uint64 {
 	if t := b.steerer.Table(); t != nil {
 		return t.Version
 	}
 	return 0
 }
 
-// learn takes contacts, and reports whether a target among them is new.
-func (b *Balancer) learn(now clock.Millis, from netip.AddrPort, contacts []*wire.Contact) bool {
+// learnContacts adds contacts, and reports whether a target among them is new.
+func (b *Balancer) learnContacts(now clock.Millis, from netip.AddrPort, contacts []*wire.Contact) bool {
 	learned := false
 	for _, c := range contacts {
 		a, err := segment.ParseAddress(c.Address)
@@ -229,7 +232,7 @@
 			continue
 		}
 		if c.Service == "" {
-			b.peers.Learn(now, a, Peer{Name: c.Name, Domain: c.Domain, Share: c.Share})
+			b.peers.Learn(now, a, Peer{Name: c.Name, Domain: c.Domain, CPUShare: c.Share})
 			continue
 		}
 		if b.steerer.Targets.Learn(now, a, c.Name, c.Domain, c.Service) {
@@ -239,24 +242,24 @@
 	return learned
 }
 
-// tellContacts tells another balancer whom it does not know, if only that there
-// is nobody.
-func (b *Balancer) tellContacts(to netip.AddrPort, known []uint32) {
+// sendContacts sends another balancer the contacts that it does not know, even if there are
+// none.
+func (b *Balancer) sendContacts(to netip.AddrPort, known []uint32) {
 	have := make(map[uint32]bool, len(known))
 	for _, h := range known {
 		have[h] = true
 	}
 	var all []*wire.Contact
-	b.contacts(func(a netip.AddrPort, c func() *wire.Contact) {
-		if !have[uint32(hash(a))] {
+	b.eachContact(func(a netip.AddrPort, c func() *wire.Contact) {
+		if !have[uint32(addressHash(a))] {
 			all = append(all, c())
 		}
 	})
-	complete := len(all) <= contactsPerParcel
-	view := b.view()
+	complete := len(all) <= maxContactsPerParcel
+	view := b.targetView()
 	for {
-		n := b.news(view, to)
-		size := min(len(all), contactsPerParcel)
+		n := b.buildNews(view, to)
+		size := min(len(all), maxContactsPerParcel)
 		n.Contacts, all = all[:size], all[size:]
 		n.Complete = complete
 		b.send(to, &wire.Parcel{Verb: wire.Verb_VERB_NEWS, News: n})
@@ -266,31 +269,31 @@
 	}
 }
 
-// tellOwners tells another balancer who owns the flows that this one knows: it
-// takes over flows of this one, or has just started and gets some of them.
-func (b *Balancer) tellOwners(now clock.Millis, to netip.AddrPort) {
+// sendOwners sends another balancer the owners of the flows that this one knows, because it
+// takes over flows from this one, or has just started and receives some of them.
+func (b *Balancer) sendOwners(now clock.Millis, to netip.AddrPort) {
 	all := b.steerer.Owners(now)
 	for len(all) > 0 {
-		size := min(len(all), ownersPerParcel)
+		size := min(len(all), maxOwnersPerParcel)
 		b.send(to, &wire.Parcel{Verb: wire.Verb_VERB_OWNERS, Owners: &wire.Owners{Owners: all[:size]}})
 		all = all[size:]
 	}
 }
 
-// leave tells the neighbours that this balancer stops, and those of its failure
-// domain the owners of its flows.
-func (b *Balancer) leave(now clock.Millis) {
-	b.tellAll(now)
+// sendLeave notifies the neighbours that this balancer stops, and sends those of its
+// failure domain the owners of its flows.
+func (b *Balancer) sendLeave(now clock.Millis) {
+	b.broadcastNews(now)
 	for _, p := range b.peers.Neighbours(now) {
 		if p.Domain == b.settings.Domain {
-			b.tellOwners(now, p.Address)
+			b.sendOwners(now, p.Address)
 		}
 	}
 }
 
-// unregister takes the entry of a lost balancer out of the directory.
+// unregister removes the entry of a lost balancer from the directory.
 func (b *Balancer) unregister(p *Peer) {
-	b.parts.Go(func() {
+	b.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		err := b.deps.Directory.Remove(ctx, p.Name, p.Address)
--- a/internal/process/streambalancer/peers.go
+++ b/internal/process/streambalancer/peers.go
@@ -12,179 +12,181 @@
 )
 
 const (
-	// peerLive is the silence after which a neighbour no longer counts as there:
-	// two lost datagrams.
-	peerLive = 2500 * clock.Millis(1)
-	// mostPeers bounds the balancers that are known: twice as many as are planned
-	// for in two years. Anybody may send news.
-	mostPeers = 1024
-	// peerKnown is the silence after which a balancer is forgotten: three times
-	// strangerNews.
-	peerKnown = 60 * clock.Second
-	// newsSoon is the least pause between news that tell of a change.
-	newsSoon = 100 * clock.Millis(1)
-	// avoidFor is how long a balancer is not asked for a version after a call to it
-	// failed.
-	avoidFor = 2 * clock.Second
+	// peerTimeout is the silence after which a neighbour no longer counts as live: two lost
+	// datagrams.
+	peerTimeout = 2500 * clock.Millis(1)
+	// maxPeers bounds the known balancers: twice as many as are planned for in two years.
+	// News from any sender is accepted.
+	maxPeers = 1024
+	// peerRetention is the silence after which a balancer is removed: three times
+	// nonNeighbourNewsInterval.
+	peerRetention = 60 * clock.Second
+	// minChangeNewsInterval is the minimum interval between news about changes.
+	minChangeNewsInterval = 100 * clock.Millis(1)
+	// failedFetchBackoff is how long no version is fetched from a balancer after a failed
+	// call.
+	failedFetchBackoff = 2 * clock.Second
 )
 
-// Peer is another balancer.
+// Peer is a balancer as known to another one.
 type Peer struct {
 	Address netip.AddrPort
 	Name    string
 	Domain  string
-	// Share is its part of a core, in thousandths; zero when not known.
-	Share   uint32
-	Epoch   uint64
-	Version uint64
-	// View is what it knows of the targets.
+	// CPUShare is its share of a core, in thousandths; zero if unknown.
+	CPUShare uint32
+	Epoch    uint64
+	Version  uint64
+	// View summarizes the targets that it knows.
 	View
-	// Watching tells that it reads the platform's changes.
+	// Watching reports whether it watches the platform for changes.
 	Watching bool
 	Leaving  bool
-	// Settled tells that it knows all targets that the others do.
+	// Settled reports whether it knows all targets that the others know.
 	Settled bool
-	// Chose tells that it counts this balancer among its neighbours.
-	Chose bool
-	// Heard is when its last news came; zero if none did.
-	Heard clock.Millis
+	// ChoseThis reports whether it has selected this balancer as a neighbour.
+	ChoseThis bool
+	// HeardAt is the time of its last news; zero if there was none.
+	HeardAt clock.Millis
 
-	learned clock.Millis
-	// since is when its present process was heard first.
-	since clock.Millis
-	// told is when it was told last, asked when it was asked, and chosen since
-	// when it is a neighbour.
-	told   clock.Millis
-	asked  clock.Millis
-	chosen clock.Millis
-	// avoid is until when no version is fetched from it.
-	avoid clock.Millis
-	// score is its rank among those that this balancer may choose as neighbours.
+	learnedAt clock.Millis
+	// processSeenAt is when its current process was first heard from.
+	processSeenAt clock.Millis
+	// newsSentAt is when news were last sent to it, requestedAt when contacts were last
+	// requested from it, and neighbourSince when it became a neighbour.
+	newsSentAt     clock.Millis
+	requestedAt    clock.Millis
+	neighbourSince clock.Millis
+	// avoidUntil is the time before which no version is fetched from it.
+	avoidUntil clock.Millis
+	// score is its rendezvous hash with this balancer; neighbours are those with the
+	// highest.
 	score uint64
-	// relay tells that it is a relay of its failure domain, as far as is known here.
-	relay bool
-	// unwatched is since when it is there without reading the platform.
-	unwatched clock.Millis
+	// isRelay reports whether this balancer considers it a relay of its failure domain.
+	isRelay bool
+	// notWatchingSince is since when it has been known not to watch the platform.
+	notWatchingSince clock.Millis
 }
 
-// Live reports whether a neighbour is there.
+// Live reports whether the peer has been heard from within peerTimeout and is not leaving.
 func (p *Peer) Live(now clock.Millis) bool {
-	return p.Heard != 0 && now.Sub(p.Heard) <= peerLive && !p.Leaving
+	return p.HeardAt != 0 && now.Sub(p.HeardAt) <= peerTimeout && !p.Leaving
 }
 
-// silent reports that the balancer was never heard, or does not answer although
-// it has been a neighbour for long enough.
+// silent reports whether the balancer was never heard from, or has not answered although it
+// has been a neighbour for long enough.
 func (p *Peer) silent(now clock.Millis) bool {
-	if p.Heard == 0 {
+	if p.HeardAt == 0 {
 		return true
 	}
-	return p.chosen != 0 && now.Sub(max(p.chosen, p.Heard)) > peerLive
+	return p.neighbourSince != 0 && now.Sub(max(p.neighbourSince, p.HeardAt)) > peerTimeout
 }
 
-// Peers is what a balancer knows of the others. It is pure: time is an argument.
+// Peers tracks the other balancers. It is pure: time is an argument.
 type Peers struct {
-	self    Peer
-	started clock.Millis
-	known   map[netip.AddrPort]*Peer
-	// agreed is since when this one knows all that its neighbours do.
-	agreed clock.Millis
-	// agreedNear is the same for those of the own failure domain.
-	agreedNear clock.Millis
-	// led is when a balancer that ranks before this one was last known to read the
-	// platform's changes.
-	led clock.Millis
-	// vouched tells that a settled balancer has told this one all targets.
-	vouched bool
-	// covered are views of others that this balancer knows all of.
+	self      Peer
+	startedAt clock.Millis
+	known     map[netip.AddrPort]*Peer
+	// agreedSince is since when this balancer knows everything that its neighbours know.
+	agreedSince clock.Millis
+	// localAgreedSince is the same for the neighbours in the local failure domain.
+	localAgreedSince clock.Millis
+	// higherRankWatchedAt is when a balancer of higher rank was last known to watch the
+	// platform.
+	higherRankWatchedAt clock.Millis
+	// confirmed reports whether a settled balancer has sent this one all targets.
+	confirmed bool
+	// covered holds the views of others whose targets this balancer knows completely.
 	covered map[View]bool
-	// asked is when another balancer was asked for contacts last.
-	asked clock.Millis
-	// sorted is the peers by address; nil after a change. neighbours are the last ones,
-	// computed at refreshed, which is zero if they are to be computed anew.
-	sorted     []*Peer
-	neighbours []*Peer
-	refreshed  clock.Millis
-	// relays are those of each failure domain, chosen with the neighbours.
+	// lastRequest is when contacts were last requested from any balancer.
+	lastRequest clock.Millis
+	// sorted holds the peers by address; nil after a change. neighbours is the last
+	// selection, made at refreshedAt, which is zero if it must be made again.
+	sorted      []*Peer
+	neighbours  []*Peer
+	refreshedAt clock.Millis
+	// relays holds the relays of each failure domain, selected together with the
+	// neighbours.
 	relays map[string][]*Peer
 }
 
-// NewPeers returns the peers of a balancer that has just started.
+// NewPeers returns the Peers of a balancer that has just started.
 func NewPeers(now clock.Millis, self Peer, seeds []netip.AddrPort) *Peers {
 	ps := &Peers{
-		self: self, started: now, known: map[netip.AddrPort]*Peer{}, covered: map[View]bool{},
+		self: self, startedAt: now, known: map[netip.AddrPort]*Peer{}, covered: map[View]bool{},
 	}
-	ps.Seed(now, seeds)
+	ps.AddSeeds(now, seeds)
 	return ps
 }
 
-// Seed adds balancers that are known by address only.
-func (ps *Peers) Seed(now clock.Millis, seeds []netip.AddrPort) {
+// AddSeeds adds balancers of which only the address is known.
+func (ps *Peers) AddSeeds(now clock.Millis, seeds []netip.AddrPort) {
 	for _, a := range seeds {
 		ps.Learn(now, a, Peer{})
 	}
 }
 
-// Learn adds a balancer on hearsay: its name, failure domain and share of a core, as far
-// as they are known.
+// Learn adds a balancer that a third party has named: its name, failure domain and share of
+// a core, as far as known.
 func (ps *Peers) Learn(now clock.Millis, a netip.AddrPort, n Peer) bool {
 	if p := ps.known[a]; p != nil && p.Domain == "" && n.Domain != "" {
-		p.Name, p.Domain, p.Share = n.Name, n.Domain, n.Share
-		ps.changed(p)
+		p.Name, p.Domain, p.CPUShare = n.Name, n.Domain, n.CPUShare
+		ps.peerChanged(p)
 		return false
 	}
-	if a == ps.self.Address || ps.known[a] != nil || len(ps.known) >= mostPeers {
+	if a == ps.self.Address || ps.known[a] != nil || len(ps.known) >= maxPeers {
 		return false
 	}
-	ps.add(&Peer{Address: a, Name: n.Name, Domain: n.Domain, Share: n.Share, learned: now})
+	ps.add(&Peer{Address: a, Name: n.Name, Domain: n.Domain, CPUShare: n.CPUShare, learnedAt: now})
 	return true
 }
 
 func (ps *Peers) add(p *Peer) {
 	ps.known[p.Address] = p
-	ps.changed(p)
+	ps.peerChanged(p)
 }
 
-// changed notes that a peer is new or has another name.
-func (ps *Peers) changed(p *Peer) {
+// peerChanged updates derived state after a peer was added or renamed.
+func (ps *Peers) peerChanged(p *Peer) {
 	p.score = xxh3.HashString(ps.self.Name + " " + p.Name)
-	ps.sorted, ps.refreshed = nil, 0
+	ps.sorted, ps.refreshedAt = nil, 0
 }
 
-// Hear takes news of a balancer itself. It reports whether it is one that has
-// not been heard before, or has started anew.
-func (ps *Peers) Hear(now clock.Millis, n Peer) bool {
+// Update applies news that a balancer sent about itself. It reports whether the balancer is
+// new or has restarted.
+func (ps *Peers) Update(now clock.Millis, n Peer) bool {
 	if n.Address == ps.self.Address {
 		return false
 	}
 	p := ps.known[n.Address]
-	if p == nil && len(ps.known) >= mostPeers {
+	if p == nil && len(ps.known) >= maxPeers {
 		return false
 	}
 	if p == nil {
-		p = &Peer{Address: n.Address, learned: now}
+		p = &Peer{Address: n.Address, learnedAt: now}
 	}
-	fresh := p.Heard == 0 || p.Epoch != n.Epoch
-	if fresh {
-		p.since = now
+	isNew := p.HeardAt == 0 || p.Epoch != n.Epoch
+	if isNew {
+		p.processSeenAt = now
 	}
-	moved := fresh || p.Leaving != n.Leaving || p.Name != n.Name
+	changed := isNew || p.Leaving != n.Leaving || p.Name != n.Name
 	switch {
 	case n.Watching:
-		p.unwatched = 0
-	case p.unwatched == 0 || fresh:
-		p.unwatched = now
+		p.notWatchingSince = 0
+	case p.notWatchingSince == 0 || isNew:
+		p.notWatchingSince = now
 	}
-	p.Name, p.Domain, p.Share, p.Epoch, p.Version = n.Name, n.Domain, n.Share, n.Epoch, n.Version
+	p.Name, p.Domain, p.CPUShare, p.Epoch, p.Version = n.Name, n.Domain, n.CPUShare, n.Epoch, n.Version
 	p.Watching, p.Leaving, p.Settled = n.Watching, n.Leaving, n.Settled
-	p.View, p.Chose = n.View, n.Chose
-	p.Heard = now
-	if moved {
+	p.View, p.ChoseThis = n.View, n.ChoseThis
+	p.HeardAt = now
+	if changed {
 		ps.add(p)
 	}
-	return fresh
+	return isNew
 }
 
-// Domain returns the failure domain of a balancer, or nothing if it is not known.
+// Domain returns the failure domain of a balancer, or "" if it is unknown.
 func (ps *Peers) Domain(at netip.AddrPort) string {
 	if p := ps.known[at]; p != nil {
 		return p.Domain
@@ -192,21 +194,21 @@
 	return ""
 }
 
-// Chose reports whether a balancer is a neighbour of this one.
-func (ps *Peers) Chose(at netip.AddrPort) bool {
+// IsNeighbour reports whether a balancer is a neighbour of this one.
+func (ps *Peers) IsNeighbour(at netip.AddrPort) bool {
 	p := ps.known[at]
-	return p != nil && p.chosen != 0
+	return p != nil && p.neighbourSince != 0
 }
 
-// Each calls f for every peer, in no order.
+// Each calls f for every peer, in no particular order.
 func (ps *Peers) Each(f func(*Peer)) {
 	for _, p := range ps.known {
 		f(p)
 	}
 }
 
-// Sorted returns the peers in the order of their addresses. The result must not be
-// changed, and holds until a peer comes or goes.
+// Sorted returns the peers ordered by address. The result must not be changed, and is valid
+// until a peer is added or removed.
 func (ps *Peers) Sorted() []*Peer {
 	if ps.sorted == nil {
 		ps.sorted = slices.SortedFunc(maps.Values(ps.known), func(a, b *Peer) int {
@@ -216,51 +218,52 @@
 	return ps.sorted
 }
 
-// Newest returns a live peer whose version is the highest, if it is above the
-// given one: one of the own failure domain if there is one, then one with a large part of
-// a core. Balancers choose different ones where they can, for a version comes to all at
-// the same time. One that a call has just failed to is left out, so that another one is
-// asked, or the platform.
+// Newest returns the live peer with the highest version, if that is above the given one. It
+// prefers peers of the local failure domain, then those with a larger share of a core.
+// Balancers select different peers where they can, because a version reaches all of them at
+// the same time. A peer to which a call has just failed is skipped, so that another one or
+// the platform is queried.
 func (ps *Peers) Newest(now clock.Millis, above uint64) (*Peer, bool) {
 	var best *Peer
 	for _, p := range ps.Sorted() {
-		if p.Live(now) && now >= p.avoid && p.Version > above && (best == nil || ps.serves(p, best) > 0) {
+		if p.Live(now) && now >= p.avoidUntil && p.Version > above && (best == nil || ps.compareFetchPeers(p, best) > 0) {
 			best = p
 		}
 	}
 	return best, best != nil
 }
 
-// serves compares two peers that a version may be fetched from; the better one is larger.
-func (ps *Peers) serves(a, b *Peer) int {
-	near := func(p *Peer) int {
+// compareFetchPeers compares two peers as sources of a version; the preferred one is
+// larger.
+func (ps *Peers) compareFetchPeers(a, b *Peer) int {
+	local := func(p *Peer) int {
 		if p.Domain == ps.self.Domain {
 			return 1
 		}
 		return 0
 	}
 	return cmp.Or(
-		cmp.Compare(a.Version, b.Version), cmp.Compare(near(a), near(b)), cmp.Compare(a.Share, b.Share),
+		cmp.Compare(a.Version, b.Version), cmp.Compare(local(a), local(b)), cmp.Compare(a.CPUShare, b.CPUShare),
 		cmp.Compare(a.score, b.score),
 	)
 }
 
-// Failed notes that a call to a balancer has failed.
-func (ps *Peers) Failed(now clock.Millis, a netip.AddrPort) {
+// FetchFailed records that a call to a balancer failed.
+func (ps *Peers) FetchFailed(now clock.Millis, a netip.AddrPort) {
 	if p := ps.known[a]; p != nil {
-		p.avoid = now + avoidFor
+		p.avoidUntil = now + failedFetchBackoff
 	}
 }
 
-// Forget removes balancers that were silent for long, and returns them.
-func (ps *Peers) Forget(now clock.Millis) []*Peer {
-	var gone []*Peer
+// RemoveSilent removes balancers that have been silent for peerRetention, and returns them.
+func (ps *Peers) RemoveSilent(now clock.Millis) []*Peer {
+	var removed []*Peer
 	for a, p := range ps.known {
-		if now.Sub(max(p.Heard, p.learned)) > peerKnown {
+		if now.Sub(max(p.HeardAt, p.learnedAt)) > peerRetention {
 			delete(ps.known, a)
-			ps.sorted, ps.refreshed = nil, 0
-			gone = append(gone, p)
+			ps.sorted, ps.refreshedAt = nil, 0
+			removed = append(removed, p)
 		}
 	}
-	return gone
+	return removed
 }
--- a/internal/process/streambalancer/surprise_test.go
+++ b/internal/process/streambalancer/random_parcels_test.go
@@ -15,25 +15,26 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// nowhere takes what a balancer sends, and fails the test if it is for nobody.
-type nowhere struct{ t *testing.T }
+// discardSender discards what a balancer sends, and fails the test if there is no
+// destination.
+type discardSender struct{ t *testing.T }
 
-func (n nowhere) Send(to netip.AddrPort, p *wire.Parcel) (int, error) {
+func (n discardSender) Send(to netip.AddrPort, p *wire.Parcel) (int, error) {
 	if !to.IsValid() {
-		n.t.Fatalf("a parcel of verb %s for nobody", p.Verb)
+		n.t.Fatalf("a parcel of verb %s without a destination", p.Verb)
 	}
 	data, err := p.MarshalVT()
 	return len(data), err
 }
 
-func (n nowhere) WriteToUDPAddrPort(packet []byte, _ netip.AddrPort) (int, error) {
+func (n discardSender) WriteToUDPAddrPort(packet []byte, _ netip.AddrPort) (int, error) {
 	return len(packet), nil
 }
 
-// surprise makes parcels for a balancer whose parts fit each other or do not.
-type surprise struct{ *rand.Rand }
+// randomParcels generates parcels for a balancer whose fields may contradict each other.
+type randomParcels struct{ *rand.Rand }
 
-func (r surprise) address() []byte {
+func (r randomParcels) address() []byte {
 	b := segment.AppendAddress(nil, peerAddress(r.IntN(40)))
 	if r.IntN(8) == 0 {
 		return b[:r.IntN(len(b))]
@@ -41,7 +42,7 @@
 	return b
 }
 
-func (r surprise) contact() *wire.Contact {
+func (r randomParcels) contact() *wire.Contact {
 	if r.IntN(10) == 0 {
 		return &wire.Contact{}
 	}
@@ -52,7 +53,7 @@
 	}
 }
 
-func (r surprise) news() *wire.News {
+func (r randomParcels) news() *wire.News {
 	if r.IntN(20) == 0 {
 		return nil
 	}
@@ -68,7 +69,7 @@
 	return n
 }
 
-func (r surprise) report() *wire.Report {
+func (r randomParcels) report() *wire.Report {
 	if r.IntN(10) == 0 {
 		return nil
 	}
@@ -78,7 +79,7 @@
 	}
 }
 
-func (r surprise) parcel() *wire.Parcel {
+func (r randomParcels) parcel() *wire.Parcel {
 	p := &wire.Parcel{
 		Verb: wire.Verb(r.IntN(int(wire.Verb_VERB_SUMMARY) + 2)), News: r.news(), Report: r.report(), Flow: r.address(),
 		Checkpoint: &wire.Checkpoint{
@@ -97,26 +98,26 @@
 	return p
 }
 
-// A malformed or surprising parcel of any verb must not end a balancer, whatever its part
-// among the others is: relay, keeper, or one that leaves.
-func TestSurprisesAtBalancer(t *testing.T) {
+// A malformed or inconsistent parcel of any verb must not crash a balancer in any role:
+// relay, keeper or leaving.
+func TestRandomParcelsDoNotPanic(t *testing.T) {
 	for seed := range uint64(8) {
-		r := surprise{rand.New(rand.NewPCG(seed, 9))}
+		r := randomParcels{rand.New(rand.NewPCG(seed, 9))}
 		manual := &clock.Manual{}
 		manual.Add(testNow)
 		b := newBalancer(Settings{
-			Name: "b000", Domain: "d0", Parcels: peerAddress(0), FlowLife: clock.Minute,
+			Name: "b000", Domain: "d0", Parcels: peerAddress(0), FlowTTL: clock.Minute,
 			Checkpoint: checkpoint.KeeperSettings{Value: 1 << 16, Life: clock.Minute, Writes: 10},
-		}, Deps{Codec: plain{}, Clock: manual, Log: zerolog.Nop(), Scope: tally.NoopScope}, 1)
-		b.link, b.callers = nowhere{t}, nowhere{t}
+		}, Deps{Codec: fakeCodec{}, Clock: manual, Log: zerolog.Nop(), Scope: tally.NoopScope}, 1)
+		b.parcelSender, b.callerWriter = discardSender{t}, discardSender{t}
 		b.steerer.SetKeeper(seed%2 == 0)
 		for range 2000 {
 			manual.Add(clock.Millis(r.IntN(60)))
-			b.hear(peerAddress(r.IntN(40)), r.parcel(), nil)
+			b.handleParcel(peerAddress(r.IntN(40)), r.parcel(), nil)
 			if r.IntN(3) == 0 {
 				b.step()
 			}
 		}
-		b.leave(manual.Now())
+		b.sendLeave(manual.Now())
 	}
 }
--- a/internal/process/streambalancer/relays.go
+++ b/internal/process/streambalancer/relays.go
@@ -9,91 +9,90 @@
 )
 
 const (
-	// relayCount is how many balancers of a failure domain tell others of its targets,
-	// and are told of theirs: where one fails, the other goes on until its place is
-	// taken.
-	relayCount = 2
-	// relayStart is how long a balancer that has started is no relay: it does not know
-	// yet who else is there. firstRelayStart is how long the first one of its failure domain
-	// is none: balancers elsewhere may have no target of their own.
-	relayStart      = 500 * clock.Millis(1)
-	firstRelayStart = 100 * clock.Millis(1)
-	// summaryEvery is the pause between two summaries of all targets, loadsEvery the one
-	// between two of those whose slots are in use, and newsEvery the least one between two
-	// of what has changed.
-	summaryEvery = 500 * clock.Millis(1)
-	loadsEvery   = 150 * clock.Millis(1)
-	newsEvery    = 20 * clock.Millis(1)
+	// relaysPerDomain is how many balancers of a failure domain exchange summaries of
+	// targets with other domains: if one fails, the other continues until it is replaced.
+	relaysPerDomain = 2
+	// relayStartDelay is how long after its start a balancer is not a relay, as it does not
+	// know the other balancers yet. firstRelayStartDelay is the same for the first relay of
+	// a failure domain: balancers elsewhere may have no targets of their own.
+	relayStartDelay      = 500 * clock.Millis(1)
+	firstRelayStartDelay = 100 * clock.Millis(1)
+	// summaryInterval is the interval between full summaries, loadsInterval between updates
+	// about targets whose slots are in use, and minChangesInterval the minimum between
+	// updates about changes.
+	summaryInterval    = 500 * clock.Millis(1)
+	loadsInterval      = 150 * clock.Millis(1)
+	minChangesInterval = 20 * clock.Millis(1)
 )
 
-// stands orders balancers by how well they stand in as relays: those that were heard first,
-// for one that was named only may start later.
-func (ps *Peers) stands(a, b *Peer) int {
+// compareRelays orders balancers by preference as relays: those that have been heard from
+// come first, as one that a third party has named may start later.
+func (ps *Peers) compareRelays(a, b *Peer) int {
 	unheard := func(p *Peer) int {
-		if p.Heard == 0 && p != &ps.self {
+		if p.HeardAt == 0 && p != &ps.self {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(unheard(a), unheard(b)), ranks(a, b))
+	return cmp.Or(cmp.Compare(unheard(a), unheard(b)), compareRank(a, b))
 }
 
-// ranks orders balancers by how well they can take a duty: those with the larger part of
-// a core first.
-func ranks(a, b *Peer) int {
-	return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Name, b.Name), a.Address.Compare(b.Address))
+// compareRank orders balancers by rank for a role: those with the larger share of a core
+// first.
+func compareRank(a, b *Peer) int {
+	return cmp.Or(cmp.Compare(b.CPUShare, a.CPUShare), cmp.Compare(a.Name, b.Name), a.Address.Compare(b.Address))
 }
 
-// absent reports that a balancer cannot be a relay: it stops, or does not answer. One
-// that was named only has some time to answer.
-func (p *Peer) absent(now clock.Millis) bool {
-	if p.Heard == 0 {
-		return now.Sub(p.learned) > peerLive
+// unavailable reports whether a balancer cannot be a relay because it is leaving or does
+// not answer. One that only a third party has named gets some time to answer.
+func (p *Peer) unavailable(now clock.Millis) bool {
+	if p.HeardAt == 0 {
+		return now.Sub(p.learnedAt) > peerTimeout
 	}
 	return p.Leaving || p.silent(now)
 }
 
-// ranked returns the relays of each failure domain, the first ones by rank, also this
-// balancer itself where it is one.
+// selectRelays returns the relays of each failure domain, those of the highest rank,
+// possibly including this balancer.
 //
-// Views differ for a moment where a balancer comes or goes. Then three tell or none, which
-// costs some datagrams, or some probes.
-func (ps *Peers) ranked(now clock.Millis) map[string][]*Peer {
+// Views differ for a moment when a balancer comes or goes. Then three or no relays send
+// summaries, which costs some datagrams, or some probes.
+func (ps *Peers) selectRelays(now clock.Millis) map[string][]*Peer {
 	candidates := map[string][]*Peer{}
 	if !ps.self.Leaving {
 		candidates[ps.self.Domain] = []*Peer{&ps.self}
 	}
 	for _, p := range ps.Sorted() {
-		if p.Domain != "" && !p.absent(now) {
+		if p.Domain != "" && !p.unavailable(now) {
 			candidates[p.Domain] = append(candidates[p.Domain], p)
 		}
 	}
 	for d, all := range candidates {
-		slices.SortFunc(all, ps.stands)
-		candidates[d] = all[:min(len(all), relayCount)]
+		slices.SortFunc(all, ps.compareRelays)
+		candidates[d] = all[:min(len(all), relaysPerDomain)]
 	}
 	return candidates
 }
 
-// Relay returns this balancer's place among the relays of its failure domain, and whether
-// it is one.
-func (ps *Peers) Relay(now clock.Millis) (int, bool) {
+// RelayIndex returns this balancer's index among the relays of its failure domain, and
+// whether it acts as a relay.
+func (ps *Peers) RelayIndex(now clock.Millis) (int, bool) {
 	ps.Neighbours(now)
 	i := slices.Index(ps.relays[ps.self.Domain], &ps.self)
-	start := relayStart
+	start := relayStartDelay
 	if i == 0 {
-		start = firstRelayStart
+		start = firstRelayStartDelay
 	}
-	return i, i >= 0 && now.Sub(ps.started) >= start
+	return i, i >= 0 && now.Sub(ps.startedAt) >= start
 }
 
-// chooseRelays chooses the relays anew and returns those that this balancer tells regularly:
+// updateRelays selects the relays again and returns those that this balancer sends news to:
 // the ones of its own failure domain and, if it is one of them, the others.
-func (ps *Peers) chooseRelays(now clock.Millis) []*Peer {
+func (ps *Peers) updateRelays(now clock.Millis) []*Peer {
 	for _, p := range ps.known {
-		p.relay = false
+		p.isRelay = false
 	}
-	ps.relays = ps.ranked(now)
+	ps.relays = ps.selectRelays(now)
 	own := ps.relays[ps.self.Domain]
 	self := slices.Contains(own, &ps.self)
 	var all []*Peer
@@ -102,19 +101,20 @@
 			if p == &ps.self {
 				continue
 			}
-			p.relay = true
+			p.isRelay = true
 			if self || d == ps.self.Domain {
 				all = append(all, p)
 			}
 		}
 	}
-	slices.SortFunc(all, ranks)
+	slices.SortFunc(all, compareRank)
 	return all
 }
 
-// Announces returns the balancers that are told of a target that this one has just heard:
-// its neighbours if it is a relay or knows none, else the relays of its failure domain.
-func (ps *Peers) Announces(now clock.Millis) []*Peer {
+// AnnouncementRecipients returns the balancers to which a newly heard target is announced:
+// the neighbours if this balancer is a relay or knows no relay, else the relays of its
+// failure domain.
+func (ps *Peers) AnnouncementRecipients(now clock.Millis) []*Peer {
 	neighbours := ps.Neighbours(now)
 	relays := ps.relays[ps.self.Domain]
 	if len(relays) == 0 || slices.Contains(relays, &ps.self) {
@@ -123,39 +123,40 @@
 	return relays
 }
 
-// Receivers returns the relay of each other failure domain that is told by the relay
-// with a place. Each of two relays tells another one, so that the loss of one leaves a way.
-func (ps *Peers) Receivers(now clock.Millis, place int) []*Peer {
+// SummaryRecipients returns the relay of each other failure domain that receives summaries
+// from the relay with an index. The two relays send to different ones, so that one path
+// remains if either fails.
+func (ps *Peers) SummaryRecipients(now clock.Millis, index int) []*Peer {
 	ps.Neighbours(now)
 	var all []*Peer
 	for d, relays := range ps.relays {
 		if d != ps.self.Domain {
-			all = append(all, relays[place%len(relays)])
+			all = append(all, relays[index%len(relays)])
 		}
 	}
-	slices.SortFunc(all, ranks)
+	slices.SortFunc(all, compareRank)
 	return all
 }
 
-// Leave notes that this balancer stops.
-func (ps *Peers) Leave() {
-	ps.self.Leaving, ps.refreshed = true, 0
+// SetLeaving records that this balancer stops.
+func (ps *Peers) SetLeaving() {
+	ps.self.Leaving, ps.refreshedAt = true, 0
 }
 
-// Near returns the balancers of the own failure domain that are there, as far as is
-// known.
-func (ps *Peers) Near(now clock.Millis) []*Peer {
+// LocalPeers returns the balancers of the local failure domain that are available, as far
+// as known.
+func (ps *Peers) LocalPeers(now clock.Millis) []*Peer {
 	var all []*Peer
 	for _, p := range ps.Sorted() {
-		if p.Domain == ps.self.Domain && !p.absent(now) {
+		if p.Domain == ps.self.Domain && !p.unavailable(now) {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// Elsewhere returns the other failure domains that have balancers.
-func (ps *Peers) Elsewhere() []string {
+// RemoteDomains returns the other failure domains that have balancers.
+func (ps *Peers) RemoteDomains() []string {
 	domains := map[string]bool{}
 	for _, p := range ps.known {
 		if p.Domain != "" && p.Domain != ps.self.Domain {
--- a/internal/process/streambalancer/relays_test.go
+++ b/internal/process/streambalancer/relays_test.go
@@ -8,35 +8,35 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// member is a balancer of one of three failure domains; the last of each has most of a
-// core.
-func member(i int) Peer {
+// relayTestPeer returns a balancer of one of three failure domains. The last one of each
+// domain has most of a core.
+func relayTestPeer(i int) Peer {
 	p := testPeer(i)
-	p.Share = 60
+	p.CPUShare = 60
 	if i >= 27 {
-		p.Share = 800
+		p.CPUShare = 800
 	}
 	return p
 }
 
-// fleet returns the peers of each of thirty balancers that hear each other until a time,
-// but for some.
-func fleet(until clock.Millis, silent ...int) []*Peers {
+// relayTestFleet returns the Peers of thirty balancers that exchange news until the given
+// time, except for the silent ones.
+func relayTestFleet(until clock.Millis, silent ...int) []*Peers {
 	const count = 30
-	gone := map[int]bool{}
+	isSilent := map[int]bool{}
 	for _, i := range silent {
-		gone[i] = true
+		isSilent[i] = true
 	}
 	var all []*Peers
 	for i := range count {
-		ps := NewPeers(testNow-clock.Minute, member(i), nil)
+		ps := NewPeers(testNow-clock.Minute, relayTestPeer(i), nil)
 		for j := range count {
-			ps.Hear(testNow, member(j))
+			ps.Update(testNow, relayTestPeer(j))
 		}
 		for at := testNow; at <= until; at += 100 {
 			for j := range count {
-				if !gone[j] {
-					ps.Hear(at, member(j))
+				if !isSilent[j] {
+					ps.Update(at, relayTestPeer(j))
 				}
 			}
 			ps.Neighbours(at)
@@ -46,49 +46,49 @@
 	return all
 }
 
-// All balancers of a failure domain agree on its two relays, those with the largest part
-// of a core first, and each relay tells another one of each other failure domain.
+// All balancers of a failure domain agree on its two relays, those with the largest share
+// of a core first. The relays of a domain send to different relays of each other domain.
 func TestRelaysAgree(t *testing.T) {
-	all := fleet(testNow)
-	relays, told := 0, map[string]int{}
+	all := relayTestFleet(testNow)
+	relays, received := 0, map[string]int{}
 	for i, ps := range all {
-		place, ok := ps.Relay(testNow)
+		index, ok := ps.RelayIndex(testNow)
 		if !ok {
 			continue
 		}
 		relays++
-		if place == 0 && i < 27 {
+		if index == 0 && i < 27 {
 			t.Errorf("balancer %d, with a small part of a core, is the first relay", i)
 		}
-		for _, p := range ps.Receivers(testNow, place) {
-			told[p.Name]++
+		for _, p := range ps.SummaryRecipients(testNow, index) {
+			received[p.Name]++
 		}
 	}
-	if relays != 6 || len(told) != 6 {
-		t.Errorf("%d relays tell %v, want six that tell each other", relays, told)
+	if relays != 6 || len(received) != 6 {
+		t.Errorf("%d relays send to %v, want six that send to each other", relays, received)
 	}
-	for name, n := range told {
+	for name, n := range received {
 		if n != 2 {
-			t.Errorf("%s is told by %d relays, want one of each other failure domain", name, n)
+			t.Errorf("%s receives from %d relays, want one of each other failure domain", name, n)
 		}
 	}
 }
 
-// The first relay of a failure domain falls silent, or leaves: another one takes its
-// place, here and in the eyes of the others, and stays.
+// The first relay of a failure domain becomes silent or leaves. All balancers replace it,
+// and the replacement stays a relay.
 func TestRelayIsReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		peers func() []*Peers
 		until clock.Millis
 	}{
-		{"silent", func() []*Peers { return fleet(testNow+9*clock.Second, 27) }, testNow + 9*clock.Second},
+		{"silent", func() []*Peers { return relayTestFleet(testNow+9*clock.Second, 27) }, testNow + 9*clock.Second},
 		{"leaving", func() []*Peers {
-			all := fleet(testNow)
+			all := relayTestFleet(testNow)
 			for _, ps := range all {
-				leaving := member(27)
+				leaving := relayTestPeer(27)
 				leaving.Leaving = true
-				ps.Hear(testNow, leaving)
+				ps.Update(testNow, leaving)
 			}
 			return all
 		}, testNow},
@@ -97,7 +97,7 @@
 			all := c.peers()
 			relays := 0
 			for i, ps := range all {
-				_, relay := ps.Relay(c.until)
+				_, relay := ps.RelayIndex(c.until)
 				if i == 27 || !relay && i%3 != 0 {
 					continue
 				}
@@ -105,144 +105,146 @@
 					relays++
 				}
 				if ps.relays["d0"][0].Address == peerAddress(27) {
-					t.Errorf("balancer %d takes the lost one for a relay", i)
+					t.Errorf("balancer %d considers the lost one a relay", i)
 				}
 			}
-			if relays != relayCount {
-				t.Errorf("%d balancers are relays in its place", relays)
+			if relays != relaysPerDomain {
+				t.Errorf("%d balancers are relays after it was lost", relays)
 			}
 		})
 	}
 }
 
-// A failure domain has one balancer: it relays alone, and is told by both relays of
-// others.
+// A failure domain has a single balancer. It is the only relay, and both relays of other
+// failure domains send to it.
 func TestSingleRelay(t *testing.T) {
 	ps := NewPeers(testNow-clock.Minute, Peer{Address: peerAddress(0), Name: "b0", Domain: "a"}, nil)
 	for i := 1; i < 4; i++ {
-		ps.Hear(testNow, Peer{Address: peerAddress(i), Name: fmt.Sprint("b", i), Domain: "b", Epoch: 1})
+		ps.Update(testNow, Peer{Address: peerAddress(i), Name: fmt.Sprint("b", i), Domain: "b", Epoch: 1})
 	}
-	if place, ok := ps.Relay(testNow); !ok || place != 0 {
-		t.Errorf("relay %v at place %d", ok, place)
+	if index, ok := ps.RelayIndex(testNow); !ok || index != 0 {
+		t.Errorf("relay %v at index %d", ok, index)
 	}
-	if got := ps.Receivers(testNow, 0); len(got) != 1 || got[0].Name != "b1" {
-		t.Errorf("tells %v", got)
+	if got := ps.SummaryRecipients(testNow, 0); len(got) != 1 || got[0].Name != "b1" {
+		t.Errorf("sends to %v", got)
 	}
 	other := NewPeers(testNow-clock.Minute, Peer{Address: peerAddress(2), Name: "b2", Domain: "b"}, nil)
-	other.Hear(testNow, Peer{Address: peerAddress(0), Name: "b0", Domain: "a", Epoch: 1})
-	if got := other.Receivers(testNow, 1); len(got) != 1 || got[0].Name != "b0" {
-		t.Errorf("the second relay tells %v", got)
+	other.Update(testNow, Peer{Address: peerAddress(0), Name: "b0", Domain: "a", Epoch: 1})
+	if got := other.SummaryRecipients(testNow, 1); len(got) != 1 || got[0].Name != "b0" {
+		t.Errorf("the second relay sends to %v", got)
 	}
 }
 
-// Three hundred balancers return together and know each other from the directory. Each
-// greets those of its failure domain and a few others; a word to everybody would keep the
+// Three hundred balancers restart together and know each other from the directory. Each
+// contacts those of its failure domain and a few others. News to all of them would keep the
 // smallest ones busy while callers wait.
-func TestGreetingsAtReturn(t *testing.T) {
+func TestStartupNewsVolume(t *testing.T) {
 	for _, count := range []int{15, 91, 490} {
-		ps := NewPeers(testNow, member(0), nil)
-		near := 0
+		ps := NewPeers(testNow, relayTestPeer(0), nil)
+		local := 0
 		for i := 1; i < count; i++ {
-			ps.Learn(testNow, peerAddress(i), member(i))
-			if member(i).Domain == ps.self.Domain {
-				near++
+			ps.Learn(testNow, peerAddress(i), relayTestPeer(i))
+			if relayTestPeer(i).Domain == ps.self.Domain {
+				local++
 			}
 		}
-		told := 0
+		sent := 0
 		for now := testNow; now < testNow+clock.Second; now += 50 {
-			told += len(ps.Due(now))
+			sent += len(ps.DueForNews(now))
 		}
-		if most := 5 * (near + 2*relayCount); told > most {
-			t.Errorf("%d balancers: %d datagrams in the first second, want %d", count, told, most)
+		if limit := 5 * (local + 2*relaysPerDomain); sent > limit {
+			t.Errorf("%d balancers: %d datagrams in the first second, want %d", count, sent, limit)
 		}
 	}
 }
 
-// A failure domain has no balancer that tells of its targets. A balancer that starts
-// beside others that start does not know all targets for as long as agents there may
-// not have looked for other balancers.
+// No balancer of a failure domain sends summaries of its targets. A balancer that starts
+// together with others must not count as settled while agents there may not have looked for
+// other balancers yet.
 func TestSettledWithoutRelays(t *testing.T) {
-	for _, told := range []bool{true, false} {
+	for _, summariesSent := range []bool{true, false} {
 		ps := NewPeers(testNow, testPeer(1), nil)
-		complete := func(string) bool { return told }
+		complete := func(string) bool { return summariesSent }
 		other := testPeer(0)
 		other.Digest = 9
-		late := testNow + aloneStart + settleTime + 100
+		late := testNow + soloStartDelay + settleTime + 100
 		for at := testNow + 10; at < late; at += 50 {
-			ps.Hear(at, other)
+			ps.Update(at, other)
 			ps.Settled(at, 9, complete)
 		}
-		if got := ps.Settled(late, 9, complete); got != told {
-			t.Errorf("told %v: settled %v", told, got)
+		if got := ps.Settled(late, 9, complete); got != summariesSent {
+			t.Errorf("complete %v: settled %v", summariesSent, got)
 		}
 	}
 }
 
-// A hundred balancers know a target that was lost long ago, which a starting one will
-// never hear. It asks one of them, and what it was told holds for all that know the same.
+// A hundred balancers know a target that was lost long ago and that a starting balancer
+// never hears from. It requests contacts from one of them, and the answer covers all that
+// have the same view.
 func TestOneAnswerCoversAll(t *testing.T) {
-	ps := heard(1, 0)
-	asked := 0
+	ps := newPeersWithNews(1, 0)
+	queried := 0
 	for i := range 100 {
 		p := testPeer(2 + i)
 		p.Digest = 7
-		ps.Hear(testNow, p)
-		if ps.Ask(testNow, p.Address, p.View) {
-			asked++
-			ps.Covered(p.View)
+		ps.Update(testNow, p)
+		if ps.StartContactRequest(testNow, p.Address, p.View) {
+			queried++
+			ps.MarkCovered(p.View)
 		}
 	}
-	if asked != 1 {
-		t.Errorf("%d balancers were asked", asked)
+	if queried != 1 {
+		t.Errorf("%d balancers were queried, want 1", queried)
 	}
 }
 
-// A balancer is cut off from a target, takes it for lost and names all others. Another one
-// has heard the same targets and still hears that one: what the first one has told does not
-// stand for it, or flows of the target would be taken for nobody's.
+// One balancer is partitioned from a target, considers it lost and sends only the other
+// contacts. Another one has heard from the same targets and still hears from that one. The
+// first one's answer must not cover the second one's view, or flows of the target would
+// count as unowned.
 func TestAnswerWithoutLostTarget(t *testing.T) {
 	ps := NewPeers(testNow-clock.Minute, testPeer(1), nil)
-	cut, well := testPeer(0), testPeer(2)
-	cut.View, well.View = View{Digest: 7, Lost: 3}, View{Digest: 7}
-	ps.Hear(testNow, cut)
-	ps.Covered(cut.View)
-	ps.Hear(testNow, well)
-	if !ps.Ask(testNow+askPause, well.Address, well.View) {
-		t.Error("the balancer that hears the target is not asked")
-	}
-	ps.Settled(testNow+askPause, 5, everywhere)
-	later := testNow + askPause + settleTime + 1
-	ps.Hear(later, cut)
-	ps.Hear(later, well)
-	if ps.Settled(later, 5, everywhere) {
+	partitioned, connected := testPeer(0), testPeer(2)
+	partitioned.View, connected.View = View{Digest: 7, Lost: 3}, View{Digest: 7}
+	ps.Update(testNow, partitioned)
+	ps.MarkCovered(partitioned.View)
+	ps.Update(testNow, connected)
+	if !ps.StartContactRequest(testNow+requestInterval, connected.Address, connected.View) {
+		t.Error("the balancer that hears from the target is not queried")
+	}
+	ps.Settled(testNow+requestInterval, 5, allDomainsComplete)
+	later := testNow + requestInterval + settleTime + 1
+	ps.Update(later, partitioned)
+	ps.Update(later, connected)
+	if ps.Settled(later, 5, allDomainsComplete) {
 		t.Error("settled without the target")
 	}
 }
 
-// A failure domain has no target of its own, for it is evacuated or dark, and all VMs return
-// at once, but for the one of each failure domain that is its first relay: its balancers must
-// hear of targets elsewhere within what an opening waits.
-func TestTargetsElsewhereAreKnownSoon(t *testing.T) {
+// A failure domain has no targets of its own, as it is evacuated or down. All VMs restart
+// at once, except for the first relay of each failure domain. The balancers there must
+// learn of remote targets before the wait of an opening ends.
+func TestRemoteTargetsAreKnownSoon(t *testing.T) {
 	const from, until = 0, 600_000
 	for _, size := range []fleetSize{{7, 10, 3}, {16, 44, 3}, {91, 204, 5}} {
 		order := 0
-		f := newReturn(t, size, from, func(_ int, part float64) float64 {
+		f := newSimFleet(t, size, from, func(_ int, fraction float64) float64 {
 			order++
 			if order <= size.domains {
 				return 2e6
 			}
-			return 300_000 * part
+			return 300_000 * fraction
 		})
 		f.run(until)
-		for _, s := range f.all[size.domains:size.balancers] {
-			far := 0
+		for _, s := range f.processes[size.domains:size.balancers] {
+			remote := 0
 			s.balancer.steerer.Targets.Each(func(target *stream.Target) {
 				if target.Domain != s.domain && target.Opens(s.clock.Now()) {
-					far++
+					remote++
 				}
 			})
-			if far == 0 {
-				t.Errorf("%+v: %s of %s knows no target elsewhere", size, s.address, s.domain)
+			if remote == 0 {
+				t.Errorf("%+v: %s of %s knows no remote target", size, s.address, s.domain)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/process/streambalancer/sim_test.go
@@ -0,0 +1,416 @@
+package streambalancer
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"testing"
+
+	"github.com/rs/zerolog"
+	"github.com/uber-go/tally/v4"
+
+	"github.com/wagtailtray/wagtailtray/internal/connection/stream"
+	"github.com/wagtailtray/wagtailtray/internal/process/streamagent"
+	"github.com/wagtailtray/wagtailtray/internal/request/segment"
+	"github.com/wagtailtray/wagtailtray/internal/version/routing"
+	"github.com/wagtailtray/wagtailtray/pkg/clock"
+	"github.com/wagtailtray/wagtailtray/pkg/wire"
+)
+
+// A simulation of a fleet without a network: the code of the balancers runs over links with
+// delays, agents answer, and each datagram takes CPU time according to the process's share
+// of a core.
+
+const (
+	// cpuMicrosPerDatagram is the time of a whole core for a datagram, and cpuMicrosPerByte
+	// the addition for each byte, in microseconds.
+	cpuMicrosPerDatagram = 30.0
+	cpuMicrosPerByte     = 0.01
+	// localDelayMicros and remoteDelayMicros are the one-way delays within a failure domain
+	// and between two, in microseconds.
+	localDelayMicros  = 200.0
+	remoteDelayMicros = 3400.0
+	// lostFlowsPerBalancer is the number of lost flows on which callers send, for each
+	// balancer.
+	lostFlowsPerBalancer = 41
+	// maxBacklogMicros is the backlog of a process, in microseconds, above which datagrams
+	// to it are dropped.
+	maxBacklogMicros = 2_000_000.0
+)
+
+// simEvent is a scheduled event; at is in microseconds.
+type simEvent struct {
+	at    float64
+	order int
+	do    func()
+}
+
+type simQueue []simEvent
+
+func (h simQueue) Len() int      { return len(h) }
+func (h simQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h simQueue) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+}
+func (h *simQueue) Push(x any) { *h = append(*h, x.(simEvent)) }
+func (h *simQueue) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
+
+// simProcess is a process of the fleet.
+type simProcess struct {
+	address netip.AddrPort
+	domain  string
+	share   float64
+	startAt float64
+	// busyUntil is when it has handled everything that has arrived.
+	busyUntil float64
+	balancer  *Balancer
+	holder    *stream.Holder
+	clock     *clock.Manual
+	// reportBalancers are the balancers to which an agent reports.
+	reportBalancers *streamagent.Balancers
+	settledAfter    float64
+	// unheardTargets is the number of targets that a balancer had not heard from when it
+	// settled.
+	unheardTargets int
+	// parcels and bytes count what arrived in the measured interval, and remoteBytes what
+	// was sent to other failure domains.
+	parcels, bytes, remoteBytes int
+	verbs                       map[wire.Verb]int
+	dropped                     int
+	// maxDelay is the longest queueing delay, in microseconds.
+	maxDelay float64
+}
+
+// simFleet is a fleet whose VMs start at random times.
+type simFleet struct {
+	t         testing.TB
+	random    *rand.Rand
+	now       float64
+	lastOrder int
+	queue     simQueue
+	byAddress map[netip.AddrPort]*simProcess
+	processes []*simProcess
+	table     *routing.Table
+	// measureFrom is when the restart begins. Traffic is counted for the two seconds after
+	// it.
+	measureFrom float64
+}
+
+func (f *simFleet) measuring() bool {
+	return f.now >= f.measureFrom && f.now < f.measureFrom+2e6
+}
+
+func (f *simFleet) schedule(d float64, do func()) {
+	f.lastOrder++
+	heap.Push(&f.queue, simEvent{at: f.now + d, order: f.lastOrder, do: do})
+}
+
+func (f *simFleet) run(until float64) {
+	for len(f.queue) > 0 && f.queue[0].at <= until {
+		h := heap.Pop(&f.queue).(simEvent)
+		f.now = h.at
+		h.do()
+	}
+	f.now = until
+}
+
+// simLink is the link of a process.
+type simLink struct {
+	fleet *simFleet
+	from  *simProcess
+}
+
+// Send delivers a parcel to another process, which handles one at a time.
+func (l simLink) Send(to netip.AddrPort, p *wire.Parcel) (int, error) {
+	f, from := l.fleet, l.from
+	size := p.SizeVT()
+	other := f.byAddress[to]
+	delay := remoteDelayMicros
+	if other != nil && other.domain == from.domain {
+		delay = localDelayMicros
+	} else if f.measuring() {
+		from.remoteBytes += size
+	}
+	from.busyUntil = max(from.busyUntil, f.now) + (cpuMicrosPerDatagram+cpuMicrosPerByte*float64(size))/from.share
+	if other == nil {
+		return size, nil
+	}
+	data, err := p.MarshalVT()
+	if err != nil {
+		return size, err
+	}
+	f.schedule(from.busyUntil-f.now+delay*(1+0.3*f.random.Float64()), func() { f.deliver(from.address, other, data) })
+	return size, nil
+}
+
+func (f *simFleet) deliver(from netip.AddrPort, to *simProcess, data []byte) {
+	if f.now < to.startAt {
+		return
+	}
+	if to.busyUntil-f.now > maxBacklogMicros {
+		to.dropped++
+		return
+	}
+	p := &wire.Parcel{}
+	if err := p.UnmarshalVT(data); err != nil {
+		f.t.Fatal(err)
+	}
+	if f.measuring() {
+		to.parcels++
+		to.bytes += len(data)
+		to.verbs[p.Verb]++
+	}
+	to.busyUntil = max(to.busyUntil, f.now) + (cpuMicrosPerDatagram+cpuMicrosPerByte*float64(len(data)))/to.share
+	to.maxDelay = max(to.maxDelay, to.busyUntil-f.now)
+	f.schedule(to.busyUntil-f.now, func() { f.handle(from, to, p) })
+}
+
+func (f *simFleet) handle(from netip.AddrPort, to *simProcess, p *wire.Parcel) {
+	now := f.syncClock(to)
+	if to.balancer != nil {
+		to.balancer.handleParcel(from, p, nil)
+		return
+	}
+	if to.reportBalancers == nil {
+		return
+	}
+	to.reportBalancers.Heard(now, from)
+	if p.Verb == wire.Verb_VERB_PROBE {
+		to.reportBalancers.Probed(now, from, p.Report.Domain)
+	}
+	to.holder.Hear(now, from, p, nil)
+	f.flush(to)
+}
+
+// syncClock sets the clock of a process to the time of the simulation.
+func (f *simFleet) syncClock(s *simProcess) clock.Millis {
+	at := testNow + clock.Millis(f.now/1000)
+	s.clock.Add(at.Sub(s.clock.Now()))
+	return at
+}
+
+func (f *simFleet) flush(s *simProcess) {
+	for _, send := range s.holder.Take().Sends {
+		_, _ = simLink{f, s}.Send(send.To, send.Parcel)
+	}
+}
+
+// WriteToUDPAddrPort discards what a balancer sends to a caller.
+func (s *simProcess) WriteToUDPAddrPort(packet []byte, _ netip.AddrPort) (int, error) {
+	return len(packet), nil
+}
+
+func (f *simFleet) add(s *simProcess) {
+	s.verbs, s.clock = map[wire.Verb]int{}, &clock.Manual{}
+	f.byAddress[s.address] = s
+	f.processes = append(f.processes, s)
+}
+
+// fleetSize is the number of balancers, agents and failure domains.
+type fleetSize struct{ balancers, agents, domains int }
+
+// newSimFleet returns a fleet in which each VM starts at the time that start returns for
+// its failure domain and a random fraction of 1. All but the first three balancers of each
+// failure domain have a small share of a core.
+func newSimFleet(t testing.TB, size fleetSize, from float64, start func(domain int, fraction float64) float64) *simFleet {
+	f := &simFleet{t: t, random: rand.New(rand.NewPCG(1, 3)), byAddress: map[netip.AddrPort]*simProcess{}, measureFrom: from}
+	table := &routing.Table{Version: 1, Listeners: []routing.Listener{{
+		Name: "l", Address: netip.MustParseAddrPort("198.18.0.1:443"),
+		Shares: []routing.Share{{Service: "one", Weight: 1}},
+	}}}
+	if err := table.Check(); err != nil {
+		t.Fatal(err)
+	}
+	f.table = table
+	for i := range size.balancers {
+		share := 0.061
+		if i/size.domains < 3 {
+			share = 0.8
+		}
+		f.add(&simProcess{
+			address: peerAddress(i), domain: fmt.Sprint("d", i%size.domains), share: share,
+			startAt: start(i%size.domains, f.random.Float64()),
+		})
+	}
+	for i := range size.agents {
+		f.add(&simProcess{
+			address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7000),
+			domain:  fmt.Sprint("d", i%size.domains), share: 0.24,
+			startAt: start(i%size.domains, f.random.Float64()),
+		})
+	}
+	for i, s := range f.processes {
+		f.schedule(s.startAt, func() {
+			if i < size.balancers {
+				f.startBalancer(s, i, size.balancers, table)
+				return
+			}
+			f.startAgent(s, i, size.balancers)
+		})
+	}
+	return f
+}
+
+// unheard returns the number of running targets that a balancer has not heard from.
+func (f *simFleet) unheard(b *Balancer) int {
+	n := 0
+	for _, s := range f.processes {
+		if s.holder == nil {
+			continue
+		}
+		if t, ok := b.steerer.Targets.Find(s.address); !ok || t.Heard == 0 {
+			n++
+		}
+	}
+	return n
+}
+
+// restart ends the process of a balancer and starts another one later.
+func (f *simFleet) restart(i int, size fleetSize, later float64) {
+	s := f.processes[i]
+	s.startAt, s.settledAfter, s.unheardTargets, s.balancer = f.now+later, 0, 0, nil
+	f.schedule(later, func() { f.startBalancer(s, i, size.balancers, f.table) })
+}
+
+func (f *simFleet) startBalancer(s *simProcess, i, count int, table *routing.Table) {
+	f.syncClock(s)
+	b := newBalancer(Settings{
+		Name: fmt.Sprintf("b%03d", i), Domain: s.domain, CPUShare: uint32(1000 * s.share), Parcels: s.address,
+		FlowTTL: clock.Minute, Seeds: []netip.AddrPort{peerAddress(0), peerAddress(1), peerAddress(2)},
+	}, Deps{Codec: fakeCodec{}, Clock: s.clock, Log: zerolog.Nop(), Scope: tally.NoopScope}, uint64(s.startAt)+1)
+	b.parcelSender, b.callerWriter = simLink{f, s}, s
+	s.balancer = b
+	b.steerer.SetTable(s.clock.Now(), table)
+	f.schedule(60_000, func() {
+		f.syncClock(s)
+		for j := range count {
+			b.peers.Learn(s.clock.Now(), peerAddress(j), Peer{
+				Name: fmt.Sprintf("b%03d", j), Domain: f.byAddress[peerAddress(j)].domain,
+				CPUShare: uint32(1000 * f.byAddress[peerAddress(j)].share),
+			})
+		}
+	})
+	var step func()
+	step = func() {
+		if s.balancer != b {
+			return
+		}
+		now := f.syncClock(s)
+		// Callers open flows all the time.
+		b.steerer.Targets.Choose(now, stream.Demand{Service: "one"})
+		pause := b.step()
+		if s.settledAfter == 0 && b.settled {
+			s.settledAfter = f.now - s.startAt
+			s.unheardTargets = f.unheard(b)
+		}
+		f.schedule(max(float64(pause.Microseconds()), s.busyUntil-f.now), step)
+	}
+	step()
+}
+
+// startAgent reports to balancers of the agent's failure domain as agents do, until they
+// probe it.
+func (f *simFleet) startAgent(s *simProcess, i, balancers int) {
+	now := f.syncClock(s)
+	s.holder = stream.NewHolder(now, stream.HolderSettings{
+		Name: fmt.Sprintf("side-place-%s-%d", s.domain, i), Domain: s.domain, Service: "one", Epoch: uint64(s.startAt) + 1,
+		Port: 7000, Flows: 100, FlowLife: clock.Minute, Heartbeat: 1200, SilentAfter: 3600,
+	})
+	s.holder.Beat(now, stream.Beat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
+	s.reportBalancers = streamagent.NewBalancers(now, s.domain)
+	f.schedule(60_000, func() {
+		for j := range balancers {
+			if a := peerAddress(j); f.byAddress[a].domain == s.domain {
+				s.reportBalancers.Learn(f.syncClock(s), []netip.AddrPort{a}, s.domain)
+			}
+		}
+	})
+	var step func()
+	step = func() {
+		now := f.syncClock(s)
+		s.holder.Tell(now, s.reportBalancers.Due(now, s.holder.Loaded()))
+		s.holder.Tick(now)
+		f.flush(s)
+		f.schedule(50_000, step)
+	}
+	step()
+}
+
+// sendLostFlows simulates callers that send on lost flows, and retransmit after each pause,
+// to any balancer of their failure domain, within a second.
+func (f *simFleet) sendLostFlows(balancers, domains int) {
+	for i := range lostFlowsPerBalancer * balancers {
+		id := segment.Flow{Caller: peerAddress(10_000 + i), Listener: netip.MustParseAddrPort("198.18.0.1:443")}
+		to := f.byAddress[peerAddress(f.random.IntN(balancers/domains)*domains+i%domains)]
+		at := f.measureFrom + 400_000 + 1e6*f.random.Float64()
+		for _, pause := range []float64{0, 200_000, 600_000} {
+			f.schedule(at+pause, func() { f.deliverPacket(id, to) })
+		}
+	}
+}
+
+func (f *simFleet) deliverPacket(id segment.Flow, to *simProcess) {
+	if f.now < to.startAt {
+		return
+	}
+	if to.busyUntil-f.now > maxBacklogMicros {
+		to.dropped++
+		return
+	}
+	to.busyUntil = max(to.busyUntil, f.now) + cpuMicrosPerDatagram/to.share
+	f.schedule(to.busyUntil-f.now, func() {
+		seg := segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100}
+		to.maxDelay = max(to.maxDelay, to.busyUntil-f.now)
+		b := to.balancer
+		b.steerer.Arrive(f.syncClock(to), &seg, []byte("packet"))
+		b.flush()
+	})
+}
+
+// fakeCodec replaces the platform's codec for packet headers.
+type fakeCodec struct{}
+
+func (fakeCodec) Decode([]byte) (segment.Segment, error) { return segment.Segment{}, nil }
+func (fakeCodec) Mark([]byte, uint32)                    {}
+func (fakeCodec) Reset(segment.Flow, uint32) []byte      { return nil }
+
+// processStats holds what balancers with a small share of a core received in the two
+// seconds after the restart, on average, and the maximum delays among them.
+type processStats struct {
+	parcels, bytes float64
+	// settled and maxDelay are in milliseconds. maxDelay is the longest queueing delay.
+	settled, maxDelay float64
+	dropped           int
+	verbs             map[wire.Verb]int
+}
+
+func (f *simFleet) smallBalancerStats() processStats {
+	a := processStats{verbs: map[wire.Verb]int{}}
+	count := 0
+	for _, s := range f.processes {
+		if s.balancer == nil || s.share > 0.1 {
+			continue
+		}
+		count++
+		a.parcels += float64(s.parcels)
+		a.bytes += float64(s.bytes)
+		a.dropped += s.dropped
+		a.settled = max(a.settled, s.settledAfter/1000)
+		a.maxDelay = max(a.maxDelay, s.maxDelay/1000)
+		for v, n := range s.verbs {
+			a.verbs[v] += n
+		}
+	}
+	a.parcels /= float64(count)
+	a.bytes /= float64(count)
+	for v := range a.verbs {
+		a.verbs[v] /= count
+	}
+	return a
+}
--- a/internal/process/streambalancer/summaries.go
+++ b/internal/process/streambalancer/summaries.go
@@ -7,68 +7,69 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// relaying is what a balancer does as a relay of its failure domain.
-type relaying struct {
-	on bool
-	// number counts the summaries of all targets; summarized is when the last one was
-	// sent, whether it was complete, changed when the last one of changes was, and loads
-	// when the last one was that told of targets whose slots are in use.
-	number     uint32
-	summarized clock.Millis
-	complete   bool
-	changed    clock.Millis
-	loads      clock.Millis
+// relayState is the state of a balancer as a relay of its failure domain.
+type relayState struct {
+	active bool
+	// summaryNumber counts the full summaries. summarySentAt is when the last one was sent,
+	// and complete whether it covered all targets. changesSentAt is when changes were last
+	// sent, and loadsSentAt when those included the targets whose slots are in use.
+	summaryNumber uint32
+	summarySentAt clock.Millis
+	complete      bool
+	changesSentAt clock.Millis
+	loadsSentAt   clock.Millis
 }
 
-// tellSummaries tells the relays of other failure domains of the targets of this one, if
-// this balancer is a relay. The lock is held.
-func (b *Balancer) tellSummaries(now clock.Millis) {
-	place, on := b.peers.Relay(now)
-	b.setRelaying(on)
+// sendDueSummaries sends summaries of the local targets to the relays of other failure
+// domains, if this balancer is a relay. The caller holds the lock.
+func (b *Balancer) sendDueSummaries(now clock.Millis) {
+	index, on := b.peers.RelayIndex(now)
+	b.setRelay(on)
 	if !on {
 		return
 	}
-	r := &b.relaying
-	complete := b.peers.HeardNear(now)
+	r := &b.relay
+	complete := b.peers.LocalTargetsKnown(now)
 	switch {
-	case now.Sub(r.summarized) >= summaryEvery || complete != r.complete:
-		r.number++
-		r.summarized, r.changed, r.loads, r.complete = now, now, now, complete
-		b.sendSummaries(now, place, b.steerer.Summary(now, b.peers.self.Epoch, r.number, complete))
-	case now.Sub(r.loads) >= loadsEvery:
-		r.changed, r.loads = now, now
-		b.sendSummaries(now, place, b.steerer.News(now, true))
-	case b.steerer.HasNews() && now.Sub(r.changed) >= newsEvery:
-		r.changed = now
-		b.sendSummaries(now, place, b.steerer.News(now, false))
+	case now.Sub(r.summarySentAt) >= summaryInterval || complete != r.complete:
+		r.summaryNumber++
+		r.summarySentAt, r.changesSentAt, r.loadsSentAt, r.complete = now, now, now, complete
+		b.sendSummaries(now, index, b.steerer.Summary(now, b.peers.self.Epoch, r.summaryNumber, complete))
+	case now.Sub(r.loadsSentAt) >= loadsInterval:
+		r.changesSentAt, r.loadsSentAt = now, now
+		b.sendSummaries(now, index, b.steerer.News(now, true))
+	case b.steerer.HasNews() && now.Sub(r.changesSentAt) >= minChangesInterval:
+		r.changesSentAt = now
+		b.sendSummaries(now, index, b.steerer.News(now, false))
 	}
 }
 
-func (b *Balancer) setRelaying(on bool) {
-	if on == b.relaying.on {
+func (b *Balancer) setRelay(on bool) {
+	if on == b.relay.active {
 		return
 	}
-	b.relaying.on = on
+	b.relay.active = on
 	b.steerer.SetRelay(on)
 	b.deps.Log.Info().Str("event", "relay").Bool("relaying", on).Send()
 }
 
-func (b *Balancer) sendSummaries(now clock.Millis, place int, parts []*wire.Summary) {
-	for _, p := range b.peers.Receivers(now, place) {
+func (b *Balancer) sendSummaries(now clock.Millis, index int, parts []*wire.Summary) {
+	for _, p := range b.peers.SummaryRecipients(now, index) {
 		for _, m := range parts {
 			b.send(p.Address, &wire.Parcel{Verb: wire.Verb_VERB_SUMMARY, Summary: m})
 		}
 	}
 }
 
-// hearSummary takes a summary of another failure domain, and hands it on in this one.
-func (b *Balancer) hearSummary(now clock.Millis, from netip.AddrPort, m *wire.Summary) {
+// handleSummary applies a summary from another failure domain, and distributes it in the
+// local one.
+func (b *Balancer) handleSummary(now clock.Millis, from netip.AddrPort, m *wire.Summary) {
 	if m == nil || m.Domain == b.settings.Domain {
 		return
 	}
 	if !m.Handed {
 		m.Handed = true
-		for _, p := range b.peers.Near(now) {
+		for _, p := range b.peers.LocalPeers(now) {
 			if p.Address != from {
 				b.send(p.Address, &wire.Parcel{Verb: wire.Verb_VERB_SUMMARY, Summary: m})
 			}
--- a/internal/process/streambalancer/calls.go
+++ b/internal/process/streambalancer/table_server.go
@@ -16,43 +16,43 @@
 	"github.com/wagtailtray/wagtailtray/internal/version/routing"
 )
 
-// methodTable asks a balancer for its routing table.
+// methodTable is the method that returns the routing table.
 const methodTable = "table"
 
-// mostCalls bounds the connections of peers that are served at a time; each
-// ends after one call or callTimeout.
-const mostCalls = 64
+// maxTableConns bounds concurrent connections of peers; each ends after one call or
+// callTimeout.
+const maxTableConns = 64
 
-// errBehind means that the asked balancer has no later version.
-var errBehind = errs.New("streambalancer: the peer has no later version")
+// errNoLaterVersion means that the queried balancer has no later version.
+var errNoLaterVersion = errs.New("streambalancer: the peer has no later version")
 
-// quiet keeps the library from writing lines of its own: a peer that goes away in a call
-// is told by the error of the call.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// silentLogger suppresses the library's own log lines: a peer that disconnects during a
+// call already shows up as the error of that call.
+var silentLogger = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 
-// tableRequest asks for a version above the one that the asker has.
+// tableRequest requests a version later than the client's.
 type tableRequest struct {
 	Above uint64 `json:"above"`
 }
 
-// serveCalls answers other balancers.
-func (b *Balancer) serveCalls(ctx context.Context) {
-	room := make(chan struct{}, mostCalls)
+// serveTables serves the routing table to other balancers.
+func (b *Balancer) serveTables(ctx context.Context) {
+	slots := make(chan struct{}, maxTableConns)
 	for {
-		conn, err := b.calls.Accept()
+		conn, err := b.tableListener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			b.deps.Log.Warn().Str("event", "calls").Err(err).Msg("a call was not accepted")
-			time.Sleep(firstRetry)
+			b.deps.Log.Warn().Str("event", "calls").Err(err).Msg("accepting a connection failed")
+			time.Sleep(minRetryDelay)
 			continue
 		}
 		select {
-		case room <- struct{}{}:
-			b.parts.Go(func() {
-				defer func() { <-room }()
-				b.serveCall(ctx, conn)
+		case slots <- struct{}{}:
+			b.background.Go(func() {
+				defer func() { <-slots }()
+				b.serveTableConn(ctx, conn)
 			})
 		default:
 			_ = conn.Close()
@@ -60,10 +60,10 @@
 	}
 }
 
-func (b *Balancer) serveCall(ctx context.Context, conn net.Conn) {
+func (b *Balancer) serveTableConn(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewPlainObjectStream(conn), jsonrpc2.HandlerWithError(b.handle), quiet)
+	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewPlainObjectStream(conn), jsonrpc2.HandlerWithError(b.handleTableRequest), silentLogger)
 	defer func() { _ = rpc.Close() }()
 	select {
 	case <-rpc.DisconnectNotify():
@@ -71,7 +71,7 @@
 	}
 }
 
-func (b *Balancer) handle(_ context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
+func (b *Balancer) handleTableRequest(_ context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	if r.Method != methodTable || r.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "unknown method " + r.Method}
 	}
@@ -83,14 +83,14 @@
 	defer b.mu.Unlock()
 	t := b.steerer.Table()
 	if t == nil || t.Version <= request.Above {
-		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: errBehind.Error()}
+		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: errNoLaterVersion.Error()}
 	}
 	return t, nil
 }
 
-// fetch gets a version above the given one from a peer.
-func fetch(ctx context.Context, from netip.AddrPort, above uint64, patience time.Duration) (*routing.Table, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// fetchTable gets a version later than the given one from a peer.
+func fetchTable(ctx context.Context, from netip.AddrPort, above uint64, timeout time.Duration) (*routing.Table, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp4", from.String())
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	rpc := jsonrpc2.NewConn(ctx, jsonrpc2.NewPlainObjectStream(conn), jsonrpc2.HandlerWithError(
 		func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) { return nil, nil },
-	), quiet)
+	), silentLogger)
 	defer func() { _ = rpc.Close() }()
 	t := &routing.Table{}
 	if err := rpc.Call(ctx, methodTable, tableRequest{Above: above}, t); err != nil {
--- a/internal/process/streambalancer/tick.go
+++ b/internal/process/streambalancer/tick.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// tick is the pause between two looks at what is due, and searchTick while
-	// a search is under way, whose first stage lasts 15 ms.
-	tick       = 50 * time.Millisecond
-	searchTick = 10 * time.Millisecond
-	// lateNoted is by how much a look at what is due must be late to be noted.
-	lateNoted = 100 * clock.Millis(1)
+	// tickInterval is the interval between ticks, and searchTickInterval the interval
+	// during a search, whose first stage lasts 15 ms.
+	tickInterval       = 50 * time.Millisecond
+	searchTickInterval = 10 * time.Millisecond
+	// lateTickThreshold is the delay above which a late tick is reported.
+	lateTickThreshold = 100 * clock.Millis(1)
 )
 
-func (b *Balancer) ticks(ctx context.Context) {
+func (b *Balancer) runTicker(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -29,45 +29,45 @@
 	}
 }
 
-// step does what is due and returns the pause until the next look.
+// step does the work that is due and returns the delay until the next tick.
 func (b *Balancer) step() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.deps.Clock.Now()
-	b.noteLate(now)
+	b.reportLateTick(now)
 	b.steerer.Tick(now)
 	b.flush()
-	b.tellNews(now)
-	b.tellSummaries(now)
+	b.sendDueNews(now)
+	b.sendDueSummaries(now)
 	if b.traffic.Tell(now, false) {
-		b.noteTargets(now)
+		b.reportTargets(now)
 	}
 	if b.steerer.Searches() > 0 {
-		return searchTick
+		return searchTickInterval
 	}
-	return tick
+	return tickInterval
 }
 
-// noteLate notes that this process stood still, or is short of processor time.
-func (b *Balancer) noteLate(now clock.Millis) {
-	late := now.Sub(b.stepped) - clock.Of(tick)
-	if b.stepped != 0 && late > lateNoted {
+// reportLateTick reports that this process was paused or lacks CPU time.
+func (b *Balancer) reportLateTick(now clock.Millis) {
+	late := now.Sub(b.lastTick) - clock.Of(tickInterval)
+	if b.lastTick != 0 && late > lateTickThreshold {
 		b.deps.Scope.Timer("late").Record(late.Duration())
 		b.deps.Log.Warn().Str("event", "late").Int64("age", int64(late)).Int("searches", b.steerer.Searches()).Send()
 	}
-	b.stepped = now
+	b.lastTick = now
 }
 
-// noteTargets tells what this balancer knows of the targets, and how old that is for those
-// of other failure domains.
-func (b *Balancer) noteTargets(now clock.Millis) {
+// reportTargets reports the number of known targets and the age of what is known about
+// those of other failure domains.
+func (b *Balancer) reportTargets(now clock.Millis) {
 	answering, all := b.steerer.Targets.Answering(now)
-	far, age := b.steerer.Targets.FarAge(now)
+	remote, age := b.steerer.Targets.FarAge(now)
 	b.deps.Scope.Gauge("targets").Update(float64(all))
 	b.deps.Scope.Gauge("targets_far_age_ms").Update(float64(age))
-	if b.deps.Orders != nil {
-		b.deps.Scope.Gauge("evacuations_age_ms").Update(float64(now.Sub(b.ordered)))
+	if b.deps.Evacuations != nil {
+		b.deps.Scope.Gauge("evacuations_age_ms").Update(float64(now.Sub(b.evacuationsCheckedAt)))
 	}
-	b.deps.Log.Info().Str("event", "targets").Int("answering", answering).Int("all", all).Int("far", far).
+	b.deps.Log.Info().Str("event", "targets").Int("answering", answering).Int("all", all).Int("far", remote).
 		Int64("age", int64(age)).Int("flows", b.steerer.Flows()).Int("searches", b.steerer.Searches()).Send()
 }
