--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -1,25 +1,26 @@
-// Package agent is the process beside each target. It owns the target's flows
-// and is the only one that speaks to its upstream.
+// Package agent implements the process that runs beside each target. It owns
+// the target's flows and is the only process that talks to its upstream.
 //
-// # The model
+// # Overview
 //
-// Envelopes arrive on one tunnel socket from balancers and from the agents of
-// the same service. The table of flows decides about each: hand it to the
-// upstream, pass it to a peer, refuse or drop it. Answers of the upstream go
-// back through the balancer that the flow's last datagram came from.
+// Balancers and the agents of the same service send envelopes to one tunnel
+// socket. For each envelope the flow table decides: deliver it to the upstream,
+// forward it to a peer, refuse or drop it. Answers of the upstream are returned
+// through the balancer that sent the flow's last datagram.
 //
-// The agent announces itself to a few balancers. Their replies bring the
-// service's record, the other targets and what the operators want of this one.
+// The agent announces itself to a few balancers, its contacts. Their replies
+// carry the service's configuration, the other targets (the peers) and whether
+// operators want this target to drain.
 //
-// Lock order: Agent.mu, then Agent.trustMu, then the locks of the table. The packet path takes
-// only the latter and reads the rest through atomic pointers.
+// Lock order: Agent.mu, then Agent.estimatorMu, then the locks of the table. The packet path takes
+// only the last two and reads everything else through atomic values.
 //
 // # Usage
 //
 //	a, err := agent.New(settings, deps)
 //	err = a.Start(ctx)
 //	...
-//	a.Stop(ctx) // planned: leaves its flows to its successor
+//	a.Stop(ctx) // planned: hands its flows over to its successor
 package agent
 
 import (
@@ -50,30 +51,33 @@
 	"github.com/wagtailtray/wagtailtray/pkg/platform"
 )
 
-// ErrSuperseded means that a later process of the same target is known.
-var ErrSuperseded = errs.New("agent: another process of this target has taken over")
+// ErrSuperseded means that a process of the same target with a higher
+// incarnation exists.
+var ErrSuperseded = errs.New("agent: superseded by a later process of this target")
 
-// Settings are what an agent is told at start.
+// Settings are the startup settings of an agent.
 type Settings struct {
 	// Name is the target's name, unique within its service.
 	Name    string
 	Service string
 	Domain  string
 	Control netip.AddrPort
-	// Tunnel is where envelopes are taken. Port 0 takes any.
+	// Tunnel is the UDP address that receives envelopes. Port 0 selects any
+	// free port.
 	Tunnel   netip.AddrPort
 	Upstream netip.AddrPort
-	// Local is the address that the upstream sees the flows come from.
+	// Local is the source address of the flows towards the upstream.
 	Local netip.Addr
-	// Load is the address of the upstream's load endpoint; empty for none.
+	// Load is the address and path of the upstream's load endpoint; empty for
+	// none.
 	Load string
-	// Balancers are control addresses for first contact.
+	// Balancers are the control addresses of the balancers to contact first.
 	Balancers []netip.AddrPort
 	Workers   int
 	MTU       int
 }
 
-// Deps are what an agent works with.
+// Deps are the dependencies of an agent.
 type Deps struct {
 	Ring   key.Ring
 	Store  platform.Store
@@ -83,105 +87,108 @@
 	Tracer *trace.Tracer
 }
 
-// refusedKept is how many callers are remembered whose refusal the QUIC
-// library is making, with the balancer to answer through.
-const refusedKept = 1024
+// maxRefusedCallers bounds the refused callers whose balancer is remembered
+// until the QUIC library has produced the refusal.
+const maxRefusedCallers = 1024
 
-// mostLines is how many lines about single flows are logged in a second.
-const mostLines = 100
+// maxFlowLogsPerSecond bounds the log lines about single flows.
+const maxFlowLogsPerSecond = 100
 
-// Agent is one agent.
+// Agent runs one target's agent.
 type Agent struct {
 	settings Settings
 	deps     Deps
-	// lines logs single flows, so many a second at most.
-	lines   zerolog.Logger
-	count   counters
-	table   *owner.Table
-	loads   *owner.Loads
-	sealer  *envelope.Sealer
-	pool    *upstream.Pool
-	refuser *quic.Refuser
-	refused *lru.Cache[netip.AddrPort, netip.AddrPort]
-	tunnel  *net.UDPConn
-	view    atomic.Pointer[owner.View]
-	report  atomic.Pointer[report]
-	// confirmed is when the last answered heartbeat was sent.
-	confirmed atomic.Int64
-	// held is what came while the agent was fenced, confirmations wakes who takes it up,
-	// and closing is closed with the tunnel.
-	held          chan held
-	confirmations chan struct{}
-	closing       chan struct{}
-	accepting     atomic.Bool
-	sequence      atomic.Uint64
-	buffers       sync.Pool
-	// leaseTime, digestTime and rampTime are values of the configuration
-	// that the packet path reads, in milliseconds.
-	leaseTime  atomic.Int64
-	digestTime atomic.Int64
-	rampTime   atomic.Int64
-	slots      atomic.Uint32
-	// inherited tells that flows were taken over: the upstream is warm.
-	inherited atomic.Bool
-	deafSeen  atomic.Uint64
-	deafSince atomic.Int64
-	trustMu   sync.Mutex
-	trust     *owner.Trust
+	// flowLog logs single flows, rate limited.
+	flowLog        zerolog.Logger
+	count          counters
+	table          *owner.Table
+	loads          *owner.Loads
+	sealer         *envelope.Sealer
+	pool           *upstream.Pool
+	refuser        *quic.Refuser
+	refusedCallers *lru.Cache[netip.AddrPort, netip.AddrPort]
+	tunnel         *net.UDPConn
+	view           atomic.Pointer[owner.View]
+	lastReport     atomic.Pointer[loadReport]
+	// leaseStart is when the last acknowledged heartbeat or announcement was
+	// sent.
+	leaseStart atomic.Int64
+	// queued has the datagrams received while the agent was fenced, leaseRenewed signals
+	// serveQueue to process them, and closing is closed before the tunnel.
+	queued       chan queuedDatagram
+	leaseRenewed chan struct{}
+	closing      chan struct{}
+	accepting    atomic.Bool
+	sequence     atomic.Uint64
+	buffers      sync.Pool
+	// leaseMillis, digestMillis and rampMillis are configuration values that
+	// are read without a lock.
+	leaseMillis  atomic.Int64
+	digestMillis atomic.Int64
+	rampMillis   atomic.Int64
+	slots        atomic.Uint32
+	// tookOver reports that a predecessor's flows were restored: the upstream
+	// is warm.
+	tookOver         atomic.Bool
+	unreachableSeen  atomic.Uint64
+	unreachableSince atomic.Int64
+	estimatorMu      sync.Mutex
+	estimator        *owner.Trust
 
 	mu       sync.Mutex
 	self     member.Member
-	record   config.Service
+	service  config.Service
 	timing   config.Timing
 	version  uint64
 	viewHash uint64
 	peers    []member.Member
 	contacts []netip.AddrPort
-	// tunnels are the contacts' sockets for envelopes, in their order.
-	tunnels  []netip.AddrPort
-	observer *owner.Observer
-	barred   bool
-	drained  bool
-	// joined is when the target was announced first, and familiar that the
-	// balancers knew a predecessor then.
-	joined   clock.Millis
-	familiar bool
-	// draining is when the present drain began.
-	draining clock.Millis
-	kept     map[string]keptLedger
-	beats    beats
+	// tunnels are the contacts' tunnel addresses, in the same order.
+	tunnels        []netip.AddrPort
+	observer       *owner.Observer
+	barred         bool
+	drainRequested bool
+	// joinedAt is when the target could first be announced, and
+	// predecessorKnown reports that the balancers knew a predecessor then.
+	joinedAt         clock.Millis
+	predecessorKnown bool
+	// drainingSince is when the current drain began.
+	drainingSince clock.Millis
+	peerLedgers   map[string]peerLedger
+	heartbeats    heartbeatState
 
-	started clock.Millis
-	server  *control.Server
-	client  *control.Client
-	fatal   chan error
-	// differs tells that a beat's answer showed a difference.
-	differs  chan struct{}
-	stopped  atomic.Bool
-	shutting sync.Once
-	cancel   context.CancelFunc
-	parts    tasks.Group
-	// workers are the parts that take envelopes.
+	startedAt clock.Millis
+	server    *control.Server
+	client    *control.Client
+	fatal     chan error
+	// outOfSync signals that the answer to a heartbeat differs from the
+	// agent's state.
+	outOfSync  chan struct{}
+	stopped    atomic.Bool
+	closeOnce  sync.Once
+	cancel     context.CancelFunc
+	background tasks.Group
+	// workers are the goroutines that process envelopes.
 	workers tasks.Group
 }
 
-// New returns an agent that has not started.
+// New returns an agent that is not started.
 func New(settings Settings, deps Deps) (*Agent, error) {
 	client, err := control.NewClient(deps.Ring)
 	if err != nil {
 		return nil, err
 	}
-	refused, err := lru.New[netip.AddrPort, netip.AddrPort](refusedKept)
+	refused, err := lru.New[netip.AddrPort, netip.AddrPort](maxRefusedCallers)
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
 	a := &Agent{
 		settings: settings, deps: deps, count: newCounters(deps.Scope),
-		lines: deps.Log.Sample(&zerolog.BurstSampler{Burst: mostLines, Period: time.Second}),
-		held:  make(chan held, mostHeld), confirmations: make(chan struct{}, 1), closing: make(chan struct{}),
-		client: client, refused: refused,
+		flowLog: deps.Log.Sample(&zerolog.BurstSampler{Burst: maxFlowLogsPerSecond, Period: time.Second}),
+		queued:  make(chan queuedDatagram, maxQueued), leaseRenewed: make(chan struct{}, 1), closing: make(chan struct{}),
+		client: client, refusedCallers: refused,
 		sealer:   envelope.NewSealer(deps.Ring, envelope.Room(settings.MTU, settings.Tunnel.Addr())),
-		observer: owner.NewObserver(target.IDOf(settings.Name)), kept: map[string]keptLedger{}, fatal: make(chan error, 1), differs: make(chan struct{}, 1),
+		observer: owner.NewObserver(target.IDOf(settings.Name)), peerLedgers: map[string]peerLedger{}, fatal: make(chan error, 1), outOfSync: make(chan struct{}, 1),
 	}
 	a.buffers.New = func() any {
 		b := make([]byte, 0, envelope.MaxDatagram)
@@ -190,11 +197,11 @@
 	return a, nil
 }
 
-// Start learns the service's record, takes up a predecessor's flows and begins
-// to serve. It waits until a balancer answers and the service is configured,
-// or the context ends.
+// Start obtains the service's configuration, takes over a predecessor's flows
+// and starts serving. It blocks until a balancer answers and the service is
+// configured, or the context ends.
 func (a *Agent) Start(ctx context.Context) error {
-	a.started = a.deps.Clock.Now()
+	a.startedAt = a.deps.Clock.Now()
 	ctx, a.cancel = context.WithCancel(ctx)
 	server, err := control.Serve(ctx, a.settings.Control, a.deps.Ring, a)
 	if err != nil {
@@ -206,15 +213,15 @@
 		Domain: a.settings.Domain, Control: server.Address(),
 		Upstream: a.settings.Upstream, State: member.Joining, Sequence: 1,
 	}
-	if err := a.learn(ctx); err != nil {
+	if err := a.bootstrap(ctx); err != nil {
 		return err
 	}
-	if err := a.open(); err != nil {
+	if err := a.initPacketPath(); err != nil {
 		return err
 	}
-	// The ledger's local ports are taken first: a tunnel on any free port
+	// The ledger's local ports are bound first: a tunnel on any free port
 	// could otherwise get one of them, and that flow would be lost.
-	if err := a.takeLedger(ctx); err != nil {
+	if err := a.restoreLedger(ctx); err != nil {
 		return err
 	}
 	if err := a.openTunnel(); err != nil {
@@ -222,7 +229,7 @@
 	}
 	a.join()
 	a.serve(ctx)
-	a.parts.Go(func() {
+	a.background.Go(func() {
 		a.announce(ctx)
 		a.removeLedger(ctx)
 	})
@@ -231,61 +238,62 @@
 	return nil
 }
 
-// join is the moment from which the target can be announced.
+// join records that the target can be announced from now on.
 func (a *Agent) join() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Now()
-	a.confirmed.Store(int64(now))
-	a.joined = now
+	a.leaseStart.Store(int64(now))
+	a.joinedAt = now
 	a.self.Tunnels = []netip.AddrPort{a.Tunnel()}
-	a.setState()
+	a.updateState()
 	a.accepting.Store(a.self.State == member.Alive)
-	a.rebuildLocked()
+	a.rebuildViewLocked()
 }
 
-// open makes the tables and sockets that the service's record sizes.
-func (a *Agent) open() error {
-	a.loads = owner.NewLoads(staleDigests * a.record.Digest)
+// initPacketPath creates the tables and sockets whose sizes depend on the
+// service's configuration.
+func (a *Agent) initPacketPath() error {
+	a.loads = owner.NewLoads(maxMissedDigests * a.service.Digest)
 	a.table = owner.NewTable(a.limits(), a.loads)
-	a.trust = owner.NewTrust(a.record.Idle)
-	pool, err := upstream.NewPool(a.settings.Local, a.settings.Upstream, a.settings.Workers, a.answer)
+	a.estimator = owner.NewTrust(a.service.Idle)
+	pool, err := upstream.NewPool(a.settings.Local, a.settings.Upstream, a.settings.Workers, a.handleAnswer)
 	if err != nil {
 		return err
 	}
 	a.pool = pool
-	a.refuser, err = quic.NewRefuser(a.refusal)
+	a.refuser, err = quic.NewRefuser(a.returnRefusal)
 	return err
 }
 
-// limits are those of the table by the service's record.
+// limits returns the limits of the flow table for the service's configuration.
 func (a *Agent) limits() owner.Limits {
 	return owner.Limits{
-		Flows: a.record.Flows, Memory: a.record.Flows * memoryFactor,
-		Idle: a.record.Idle, Opening: a.record.Opening,
+		Flows: a.service.Flows, Memory: a.service.Flows * placementsPerFlow,
+		Idle: a.service.Idle, Opening: a.service.Opening,
 	}
 }
 
 const (
-	// memoryFactor is how many placements a home remembers for each flow
+	// placementsPerFlow is how many placements a home remembers for each flow
 	// that a target may have: as many as two targets' flows.
-	memoryFactor = 2
-	// staleDigests is how many digests in a row may be missing before a
-	// peer's load counts as unknown.
-	staleDigests = 4
+	placementsPerFlow = 2
+	// maxMissedDigests is how many consecutive digests may be missing before
+	// a peer's load counts as unknown.
+	maxMissedDigests = 4
 )
 
 func (a *Agent) serve(ctx context.Context) {
 	for range max(a.settings.Workers, 1) {
 		a.workers.Go(a.serveTunnel)
 	}
-	a.workers.Go(a.releases)
-	a.parts.Go(func() { a.heartbeats(ctx) })
-	a.parts.Go(func() { a.digests(ctx) })
-	a.parts.Go(func() { a.sweeps(ctx) })
+	a.workers.Go(a.serveQueue)
+	a.background.Go(func() { a.runHeartbeats(ctx) })
+	a.background.Go(func() { a.runDigests(ctx) })
+	a.background.Go(func() { a.runSweeps(ctx) })
 }
 
-// Tunnel returns where the agent takes envelopes.
+// Tunnel returns the address that receives envelopes.
 func (a *Agent) Tunnel() netip.AddrPort {
 	address := a.tunnel.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
@@ -296,19 +304,19 @@
 	return a.table.Len()
 }
 
-// Version returns the version of the configuration that the agent holds.
+// Version returns the version of the agent's configuration.
 func (a *Agent) Version() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.version
 }
 
-// Fatal tells when the agent must end: a later process of the target exists.
+// Fatal returns a channel that receives ErrSuperseded when the agent must end.
 func (a *Agent) Fatal() <-chan error {
 	return a.fatal
 }
 
-// Ready says why the agent is not ready, or nothing.
+// Ready returns the reason why the agent is not ready, or an empty string.
 func (a *Agent) Ready() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -326,8 +334,8 @@
 	}
 }
 
-// Kill ends at once, as a failure would, but closes the sockets. It may be
-// called for an agent that has not come to its end of Start.
+// Kill stops the agent without handing its flows over, and closes the sockets.
+// It may be called for an agent whose Start has failed.
 func (a *Agent) Kill() {
 	if a.stopped.Swap(true) {
 		return
@@ -338,8 +346,8 @@
 	if a.server != nil {
 		a.server.Close()
 	}
-	a.shut()
-	a.parts.Wait()
+	a.closeTunnel()
+	a.background.Wait()
 	if a.pool != nil {
 		a.pool.Close()
 	}
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -19,7 +19,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-func newTest(t *testing.T, c clock.Clock) *Agent {
+func newTestAgent(t *testing.T, c clock.Clock) *Agent {
 	ring, err := key.Parse(key.Generate())
 	if err != nil {
 		t.Fatal(err)
@@ -35,84 +35,84 @@
 		Key:         member.Key{Kind: member.Target, Service: "web", Name: "t1"},
 		Incarnation: 4, Sequence: 9, State: member.Alive,
 	}
-	a.leaseTime.Store(1500)
-	a.inherited.Store(true)
-	a.familiar = true
+	a.leaseMillis.Store(1500)
+	a.tookOver.Store(true)
+	a.predecessorKnown = true
 	return a
 }
 
-// The process is paused for longer than its lease, and a successor takes over
-// its target. When it wakes it finds the lease lapsed and serves nothing. The
-// next heartbeat's answer tells it of the successor, and it ends.
+// A process that resumes after a pause longer than its lease must not serve: a
+// successor may have taken over its target. The answer to its next heartbeat
+// reports the successor, and the agent ends.
 func TestWokenHolderIsFenced(t *testing.T) {
 	c := &clock.Manual{}
 	c.Add(clock.Hour)
-	a := newTest(t, c)
-	a.confirmed.Store(int64(c.Now()))
+	a := newTestAgent(t, c)
+	a.leaseStart.Store(int64(c.Now()))
 	if a.fenced(c.Add(1500)) {
 		t.Error("fenced within the lease")
 	}
 	if !a.fenced(c.Add(1)) {
-		t.Error("serves beyond the lease")
+		t.Error("not fenced after the lease")
 	}
-	err := a.takeReply(&wire.Announced{Incarnation: 5}, false)
+	err := a.applyReply(&wire.Announced{Incarnation: 5}, false)
 	if !errors.Is(err, ErrSuperseded) {
 		t.Fatalf("got %v", err)
 	}
-	a.confirmed.Store(int64(c.Now()))
+	a.leaseStart.Store(int64(c.Now()))
 	a.supersede(err)
 	if !a.fenced(c.Now()) {
-		t.Error("serves beside its successor")
+		t.Error("not fenced although superseded")
 	}
 	if err := <-a.Fatal(); !errors.Is(err, ErrSuperseded) {
-		t.Errorf("ends with %v", err)
+		t.Errorf("Fatal returned %v", err)
 	}
 }
 
-// A contact tells the target that it is suspected. Its next heartbeat carries a
-// higher sequence, which beats the suspicion. A balancer that is behind with
-// its configuration takes no drain back.
-func TestReply(t *testing.T) {
-	a := newTest(t, &clock.Manual{})
+// A reply that reports the target as suspected must raise its sequence, which
+// overrides the suspicion. A reply with an older configuration must not cancel a
+// drain.
+func TestApplyReply(t *testing.T) {
+	a := newTestAgent(t, &clock.Manual{})
 	a.version = 7
-	a.drained = true
-	if err := a.takeReply(&wire.Announced{Incarnation: 4, Sequence: 9, Suspected: true, Version: 6}, true); err != nil {
+	a.drainRequested = true
+	if err := a.applyReply(&wire.Announced{Incarnation: 4, Sequence: 9, Suspected: true, Version: 6}, true); err != nil {
 		t.Fatal(err)
 	}
 	if a.self.Sequence <= 9 || a.self.State != member.Draining {
 		t.Errorf("sequence %d, state %s", a.self.Sequence, a.self.State)
 	}
-	if err := a.takeReply(&wire.Announced{Incarnation: 4, Version: 7}, true); err != nil {
+	if err := a.applyReply(&wire.Announced{Incarnation: 4, Version: 7}, true); err != nil {
 		t.Fatal(err)
 	}
 	if a.self.State != member.Alive {
-		t.Errorf("state %s after the drain was taken back", a.self.State)
+		t.Errorf("state %s after the drain was canceled", a.self.State)
 	}
 }
 
-// The operators stop an agent that still waits for its first configuration. It
-// has no tunnel and no upstream yet, and ends all the same.
-func TestStoppedBeforeItServes(t *testing.T) {
-	a := newTest(t, clock.System())
+// An agent that still waits for its first configuration has no tunnel and no
+// upstream pool. Kill must work without them.
+func TestKillBeforeServing(t *testing.T) {
+	a := newTestAgent(t, clock.System())
 	a.settings.Control = netip.MustParseAddrPort("127.0.0.1:0")
 	a.deps.Store = platform.NewClient("http://127.0.0.1:1")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := a.Start(ctx); !errors.Is(err, context.Canceled) {
-		t.Errorf("start ended with %v", err)
+		t.Errorf("Start returned %v", err)
 	}
 	a.Kill()
 }
 
-// A target starts without flows, and others may not have heard of it: it opens
-// none until they have. One that took over its predecessor's flows is known, unless
-// the predecessor has been forgotten meanwhile, and a drain goes before either.
+// A new target must not open flows until the other processes know it. A target
+// that took over flows is known already, unless the balancers have forgotten its
+// predecessor. A requested drain takes precedence over both.
 func TestJoining(t *testing.T) {
 	c := &clock.Manual{}
 	c.Add(clock.Hour)
-	a := newTest(t, c)
+	a := newTestAgent(t, c)
 	a.version = 1
-	a.inherited.Store(false)
+	a.tookOver.Store(false)
 	if err := a.openTunnel(); err != nil {
 		t.Fatal(err)
 	}
@@ -121,126 +121,126 @@
 		t.Errorf("state %s, accepting %t", a.self.State, a.accepting.Load())
 	}
 	c.Add(owner.NewsLag)
-	if a.settle() {
-		t.Error("joined before the news are everywhere")
+	if a.refreshState() {
+		t.Error("state changed within the propagation delay")
 	}
 	c.Add(1)
-	if !a.settle() || a.self.State != member.Alive || !a.accepting.Load() {
-		t.Errorf("state %s after its time, accepting %t", a.self.State, a.accepting.Load())
+	if !a.refreshState() || a.self.State != member.Alive || !a.accepting.Load() {
+		t.Errorf("state %s after the propagation delay, accepting %t", a.self.State, a.accepting.Load())
 	}
-	a.inherited.Store(true)
+	a.tookOver.Store(true)
 	a.join()
 	if a.self.State != member.Alive || !a.accepting.Load() {
 		t.Errorf("state %s with a predecessor's flows", a.self.State)
 	}
-	a.familiar = false
+	a.predecessorKnown = false
 	a.join()
 	if a.self.State != member.Joining || a.accepting.Load() {
-		t.Errorf("state %s with flows of a predecessor that is forgotten", a.self.State)
+		t.Errorf("state %s with flows of a forgotten predecessor", a.self.State)
 	}
-	a.drained = true
+	a.drainRequested = true
 	a.join()
 	if a.self.State != member.Draining || a.accepting.Load() {
-		t.Errorf("a restarted target that drains is %s, accepting %t", a.self.State, a.accepting.Load())
+		t.Errorf("state %s of a draining target after a restart, accepting %t", a.self.State, a.accepting.Load())
 	}
 }
 
-// A target drains, and one flow does not end. It stays until the drain limit of
-// the answers, and not longer; a later configuration may change the limit.
+// A flow that does not end must be ended at the drain limit of the service, not
+// earlier. A later configuration may change the limit during the drain.
 func TestDrainLimit(t *testing.T) {
 	c := &clock.Manual{}
-	a := newTest(t, c)
-	a.record = config.Service{Drain: clock.Hour, Flows: 10}
+	a := newTestAgent(t, c)
+	a.service = config.Service{Drain: clock.Hour, Flows: 10}
 	a.version = 1
 	a.table = owner.NewTable(a.limits(), owner.NewLoads(1))
-	a.drained = true
-	a.setState()
-	if a.drainOver(c.Add(clock.Hour)) {
-		t.Error("over at the limit")
+	a.drainRequested = true
+	a.updateState()
+	if a.drainExpired(c.Add(clock.Hour)) {
+		t.Error("expired at the limit")
 	}
-	if !a.drainOver(c.Add(1)) {
-		t.Error("not over beyond the limit")
+	if !a.drainExpired(c.Add(1)) {
+		t.Error("not expired after the limit")
 	}
-	a.record.Drain = 2 * clock.Hour
-	if a.drainOver(c.Now()) {
-		t.Error("over although the limit is later now")
+	a.service.Drain = 2 * clock.Hour
+	if a.drainExpired(c.Now()) {
+		t.Error("expired although the limit was raised")
 	}
-	a.drained = false
-	a.setState()
-	if a.drainOver(c.Add(clock.Hour * 9)) {
-		t.Error("over although the target does not drain")
+	a.drainRequested = false
+	a.updateState()
+	if a.drainExpired(c.Add(clock.Hour * 9)) {
+		t.Error("expired although the target is not draining")
 	}
 }
 
-// An answer to a beat from before a pause confirms no more than the time at
-// which that beat was sent; numbers that were never sent confirm nothing. When
-// the first contact is silent for two beats, the next one takes its place.
-func TestBeats(t *testing.T) {
+// An answer must count from the time at which its heartbeat was sent, and numbers
+// that were never sent or are too old must be rejected. When the primary contact
+// leaves two heartbeats unanswered, the next contact becomes the primary one.
+func TestHeartbeats(t *testing.T) {
 	contacts := []netip.AddrPort{
 		netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1"),
 	}
-	var s beats
+	var s heartbeatState
 	number, to := s.next(1000, contacts)
 	if len(to) != 1 || to[0] != contacts[0] {
-		t.Errorf("the first beat goes to %v", to)
+		t.Errorf("first heartbeat sent to %v", to)
 	}
-	if sent, ok := s.answered(number); !ok || sent != 1000 {
+	if sent, ok := s.acknowledge(number); !ok || sent != 1000 {
 		t.Errorf("sent at %d, %t", sent, ok)
 	}
-	if _, ok := s.answered(number + 1); ok {
-		t.Error("a beat that was not sent is answered")
+	if _, ok := s.acknowledge(number + 1); ok {
+		t.Error("answer to a heartbeat that was not sent is accepted")
 	}
-	for range missed {
+	for range maxUnanswered {
 		s.next(2000, contacts)
 	}
 	if _, to = s.next(3000, contacts); to[0] != contacts[1] {
-		t.Errorf("after %d silent beats the next goes to %v", missed, to)
+		t.Errorf("after %d unanswered heartbeats the next is sent to %v", maxUnanswered, to)
 	}
-	for range inFlight {
+	for range maxInFlight {
 		s.next(4000, contacts)
 	}
-	if _, ok := s.answered(number); ok {
-		t.Error("an answer that is too old is taken")
+	if _, ok := s.acknowledge(number); ok {
+		t.Error("answer that is too old is accepted")
 	}
-	if !s.silent(len(contacts)) {
-		t.Error("silence of all contacts goes unnoticed")
+	if !s.contactsLost(len(contacts)) {
+		t.Error("loss of all contacts is not detected")
 	}
 }
 
-// The agent stops while a worker holds an opening datagram. The worker's flow
-// begins after the socket is closed, and the ledger must name it all the same:
-// otherwise its upstream has a session that no successor knows.
+// A worker may process an opening datagram while the agent stops, and add its flow
+// after the socket is closed. The agent must wait for it before writing the ledger:
+// otherwise the upstream has a session that no successor knows.
 func TestStopWaitsForWorkers(t *testing.T) {
-	a := newTest(t, &clock.Manual{})
+	a := newTestAgent(t, &clock.Manual{})
 	if err := a.openTunnel(); err != nil {
 		t.Fatal(err)
 	}
-	begun := false
+	added := false
 	a.workers.Go(func() {
 		var b [1]byte
 		_, _, _ = a.tunnel.ReadFromUDPAddrPort(b[:])
 		time.Sleep(10 * time.Millisecond)
-		begun = true
+		added = true
 	})
-	a.shut()
-	if !begun {
-		t.Error("the table is written down while a worker still adds to it")
+	a.closeTunnel()
+	if !added {
+		t.Error("closeTunnel returned while a worker was still running")
 	}
 }
 
-// A heartbeat is on its way to the contacts when an announcement's answer brings others.
-// It must not go to an address that is being written.
-func TestBeatKeepsItsContacts(t *testing.T) {
-	a := newTest(t, &clock.Manual{})
-	told := func(view uint64, tunnel string) *wire.Announced {
+// A reply may replace the contacts while a heartbeat is being sent. The heartbeat must go
+// to the contacts that it was prepared for.
+func TestHeartbeatKeepsContacts(t *testing.T) {
+	a := newTestAgent(t, &clock.Manual{})
+	reply := func(view uint64, tunnel string) *wire.Announced {
 		return &wire.Announced{View: view, Contacts: []*wire.Member{{
 			Kind: string(member.Balancer), Name: "b", State: string(member.Alive), Tunnels: []string{tunnel},
 		}}}
 	}
-	a.takePeers(told(1, "10.0.0.1:1"))
-	_, to := a.beats.next(1000, a.tunnels)
-	a.takePeers(told(2, "10.0.0.2:1"))
+	a.applyMembership(reply(1, "10.0.0.1:1"))
+	_, to := a.heartbeats.next(1000, a.tunnels)
+	a.applyMembership(reply(2, "10.0.0.2:1"))
 	if len(to) != 1 || to[0] != netip.MustParseAddrPort("10.0.0.1:1") {
-		t.Errorf("the beat goes to %v", to)
+		t.Errorf("heartbeat sent to %v", to)
 	}
 }
--- a/internal/process/agent/announce.go
+++ b/internal/process/agent/announce.go
@@ -20,27 +20,28 @@
 
 const (
 	callTimeout = time.Second
-	// idleHeartbeat is used until the first configuration arrives.
-	idleHeartbeat = 200 * clock.Millis(1)
-	// maxPause bounds the pause between tries to find a first balancer.
-	maxPause = 2 * time.Second
+	// initialHeartbeat is the heartbeat interval until the first configuration
+	// arrives.
+	initialHeartbeat = 200 * clock.Millis(1)
+	// maxRetryDelay bounds the delay between attempts to reach a first balancer.
+	maxRetryDelay = 2 * time.Second
 )
 
-// learn asks balancers until one knows the service, then takes a number for
-// this incarnation.
-func (a *Agent) learn(ctx context.Context) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = leastEvery.Duration()
-	pause.MaxInterval = maxPause
+// bootstrap asks balancers until one has the service's configuration, then
+// acquires this process's incarnation.
+func (a *Agent) bootstrap(ctx context.Context) error {
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval = minInterval.Duration()
+	retry.MaxInterval = maxRetryDelay
 	for {
 		known := a.announce(ctx)
 		if a.configured() {
 			a.mu.Lock()
-			a.familiar = known > 0
+			a.predecessorKnown = known > 0
 			a.mu.Unlock()
-			return a.incarnate(ctx, known)
+			return a.acquireIncarnation(ctx, known)
 		}
-		if !sleep(ctx, clock.Of(pause.NextBackOff())) {
+		if !sleep(ctx, clock.Of(retry.NextBackOff())) {
 			return context.Cause(ctx)
 		}
 	}
@@ -49,44 +50,45 @@
 func (a *Agent) configured() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.record.Number != 0 && !a.barred
+	return a.service.Number != 0 && !a.barred
 }
 
-// announce tells the contacts at once, and waits for them. It returns the
-// highest incarnation of this target that any of them knows.
+// announce sends an announcement to all contacts concurrently and waits for
+// their replies. It returns the highest incarnation of this target that any of
+// them knows.
 //
-// What the first contact that answered says of the service is taken; the
-// others' answers are looked at for a successor and a suspicion only. Contacts
-// hear news at different times, and taking all their answers would let the
-// slowest one bring old news back.
+// Only the first reply, in the order of the contacts, is applied in full; the
+// others are checked for a successor and a suspicion only. Updates reach
+// contacts at different times, and applying all replies would let the contact
+// that is furthest behind restore old state.
 func (a *Agent) announce(ctx context.Context) uint32 {
-	request, contacts := a.announcement()
+	request, contacts := a.newAnnouncement()
 	replies := make([]*wire.Announced, len(contacts))
 	sent := a.deps.Clock.Now()
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, c := range contacts {
-		all.Go(func() { replies[i] = a.announceTo(ctx, c, request) })
+		calls.Go(func() { replies[i] = a.announceTo(ctx, c, request) })
 	}
-	all.Wait()
+	calls.Wait()
 	var known uint32
-	heard := false
+	answered := false
 	for _, r := range replies {
 		if r == nil {
 			continue
 		}
 		known = max(known, r.Incarnation)
-		if err := a.takeReply(r, !heard); err != nil {
+		if err := a.applyReply(r, !answered); err != nil {
 			a.supersede(err)
 			return known
 		}
-		heard = true
+		answered = true
 	}
-	if heard {
-		a.confirm(sent)
+	if answered {
+		a.renewLease(sent)
 		return known
 	}
 	a.count.unheard.Inc(1)
-	a.lookAround(ctx)
+	a.rediscover(ctx)
 	return known
 }
 
@@ -101,25 +103,25 @@
 	return &reply
 }
 
-// announcement prepares a heartbeat and says whom it goes to.
-func (a *Agent) announcement() (*wire.Announce, []netip.AddrPort) {
+// newAnnouncement returns an announcement and the balancers to send it to.
+func (a *Agent) newAnnouncement() (*wire.Announce, []netip.AddrPort) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := &wire.Announce{Member: a.self.Wire(), Version: a.version, View: a.viewHash}
 	if a.table != nil && a.pool != nil {
-		own := a.own()
-		r.Flows, r.Busy, r.Slots = uint32(own.Flows), own.Busy, own.Slots
+		local := a.localState()
+		r.Flows, r.Busy, r.Slots = uint32(local.Flows), local.Busy, local.Slots
 	}
 	if n := len(a.contacts); n > 0 {
-		first := a.beats.first % n
+		first := a.heartbeats.primary % n
 		return r, slices.Concat(a.contacts[first:], a.contacts[:first])
 	}
 	return r, slices.Clone(a.settings.Balancers)
 }
 
-// lookAround finds balancers anew when no contact answers: all of them may
-// have been replaced. The next heartbeat tries what is found here.
-func (a *Agent) lookAround(ctx context.Context) {
+// rediscover replaces the contacts when none of them answers, since all of them
+// may have been replaced. The next announcement goes to the new contacts.
+func (a *Agent) rediscover(ctx context.Context) {
 	found := slices.Clone(a.settings.Balancers)
 	if list, err := a.deps.Store.List(ctx, platform.Processes); err == nil {
 		for _, o := range list.Items {
@@ -134,21 +136,22 @@
 	shuffle(found)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.contacts = found[:min(len(found), maxTried)]
+	a.contacts = found[:min(len(found), maxRediscovered)]
 	a.viewHash = 0
 }
 
-// maxTried is how many balancers are tried at once by an agent that lost all
-// its contacts, so that a restart of a whole domain does not flood the rest.
-const maxTried = 4
+// maxRediscovered bounds the balancers that an agent without contacts calls at
+// once, so that the restart of a whole failure domain does not flood the others.
+const maxRediscovered = 4
 
+// supersede ends the lease and reports err on Fatal if it is ErrSuperseded.
 func (a *Agent) supersede(err error) {
 	if !errors.Is(err, ErrSuperseded) {
 		return
 	}
 	a.accepting.Store(false)
-	// The lease is over now, not when it lapses.
-	a.confirmed.Store(0)
+	// The lease ends now rather than when it expires.
+	a.leaseStart.Store(0)
 	select {
 	case a.fatal <- err:
 	default:
--- a/internal/process/agent/count.go
+++ b/internal/process/agent/count.go
@@ -6,7 +6,8 @@
 	"github.com/wagtailtray/wagtailtray/internal/connection/owner"
 )
 
-// counters are made once: a scope looks names up in a map.
+// counters holds the metrics, which are created once: a scope looks names up in
+// a map.
 type counters struct {
 	delivered, adopted, moved, passed, refused tally.Counter
 	answered, late, hinted, ended              tally.Counter
@@ -35,9 +36,10 @@
 	return c
 }
 
-// flowLine logs what became of a flow, by what does not change while it is open.
-func (a *Agent) flowLine(event string, f *owner.Flow) {
-	a.lines.Debug().Str("event", event).Stringer("caller", f.Caller).Uint64("opening", f.Opening).
+// logFlow logs an event of a flow, with the fields that do not change while it
+// is open.
+func (a *Agent) logFlow(event string, f *owner.Flow) {
+	a.flowLog.Debug().Str("event", event).Stringer("caller", f.Caller).Uint64("opening", f.Opening).
 		Uint16("port", f.Link.Port()).
 		Int64("age", int64(a.deps.Clock.Now().Sub(f.Started))).Msg("flow")
 }
--- a/internal/process/agent/handle.go
+++ b/internal/process/agent/handle.go
@@ -8,7 +8,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Handle answers calls of balancers and peers.
+// Handle handles calls of balancers and peers.
 func (a *Agent) Handle(_ context.Context, method control.Method, params json.RawMessage) (any, error) {
 	switch method {
 	case control.Ping:
@@ -18,13 +18,13 @@
 		if err != nil {
 			return nil, err
 		}
-		return &wire.Empty{}, a.keep(r)
+		return &wire.Empty{}, a.handleKeep(r)
 	case control.Take:
 		r, err := control.Read[wire.Take](params)
 		if err != nil {
 			return nil, err
 		}
-		return a.giveLedger(r), nil
+		return a.handleTake(r), nil
 	default:
 		return nil, control.ErrMethod
 	}
--- a/internal/process/agent/handover.go
+++ b/internal/process/agent/handover.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// tries bounds how often a number or a ledger is written again after
-	// another writer was first.
-	tries = 5
-	// handoverLimit bounds how long a stopping agent looks for somebody who keeps its
-	// flows. A caller that hears nothing for longer gives its flow up.
-	handoverLimit = 10 * time.Second
+	// maxWriteAttempts bounds the attempts to write an incarnation or a ledger
+	// after conflicts with other writers.
+	maxWriteAttempts = 5
+	// handoverTimeout bounds how long a stopping agent tries to hand its flows over.
+	// A caller that receives nothing for longer gives its flow up.
+	handoverTimeout = 10 * time.Second
 )
 
-// Stop leaves as planned. New flows go elsewhere from this instant. A target
-// without flows has left; another one writes its flows down for its successor.
+// Stop stops the agent as planned. It stops accepting new flows at once. A
+// target without flows is announced as left; otherwise its flows are handed over
+// to its successor in a ledger.
 func (a *Agent) Stop(ctx context.Context) {
 	a.mu.Lock()
 	a.self.State = member.Leaving
 	a.self.Sequence++
 	a.accepting.Store(false)
-	a.rebuildLocked()
+	a.rebuildViewLocked()
 	a.mu.Unlock()
 	a.announce(ctx)
-	a.shut()
+	a.closeTunnel()
 	if a.table.Len() == 0 {
 		a.mu.Lock()
 		a.self.State = member.Left
@@ -41,20 +42,20 @@
 		a.Kill()
 		return
 	}
-	ledger := a.table.NewLedger(a.deps.Clock.Now(), a.object(), a.view.Load())
-	// The ports are free before the ledger can be read.
+	ledger := a.table.NewLedger(a.deps.Clock.Now(), a.objectName(), a.view.Load())
+	// The ports are released before the ledger can be read.
 	a.pool.Close()
 	a.handOver(ctx, ledger)
 	a.Kill()
 }
 
-// shut takes no envelope any more, so the table is complete. Datagrams that
-// arrive from now on are lost, and QUIC sends them again.
+// closeTunnel closes the tunnel and waits for the workers, so that the flow table
+// is final. Datagrams that arrive later are lost, and QUIC retransmits them.
 //
-// Closing the socket does not stop a worker that still holds an opening, whose flow would
-// be in no ledger; waiting for it does.
-func (a *Agent) shut() {
-	a.shutting.Do(func() {
+// Closing the socket does not stop a worker that still processes an opening datagram,
+// whose flow would be missing from the ledger; waiting for the worker prevents that.
+func (a *Agent) closeTunnel() {
+	a.closeOnce.Do(func() {
 		close(a.closing)
 		if a.tunnel != nil {
 			_ = a.tunnel.Close()
@@ -64,25 +65,27 @@
 }
 
 func (a *Agent) handOver(ctx context.Context, l *owner.Ledger) {
-	ctx, cancel := context.WithTimeout(ctx, handoverLimit)
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	began := a.deps.Clock.Now()
-	recipient, err := leave(ctx, append([]recipient{a.platformRecipient(l)}, a.peerRecipients(l)...))
+	start := a.deps.Clock.Now()
+	name, err := offerLedger(ctx, append([]recipient{a.platformRecipient(l)}, a.peerRecipients(l)...))
 	line := a.deps.Log.Info()
 	if err != nil {
 		line = a.deps.Log.Error()
 	}
 	line = line.Str("event", "ledger").Int("flows", len(l.Flows)).Uint32("incarnation", l.Incarnation).
-		Int64("age", int64(a.deps.Clock.Now().Sub(began)))
+		Int64("age", int64(a.deps.Clock.Now().Sub(start)))
 	if err != nil {
-		line.Err(err).Msg("flows lost: neither platform nor peer took them")
+		line.Err(err).Msg("flows lost: neither the platform nor a peer stored the ledger")
 		return
 	}
-	line.Str("to", recipient).Msg("flows left for the successor")
+	line.Str("to", name).Msg("ledger stored for the successor")
 }
 
+// writeLedger writes the ledger to the platform. It retries after conflicts and
+// after writes with an unknown outcome.
 func (a *Agent) writeLedger(ctx context.Context, l *owner.Ledger) error {
-	for range tries {
+	for range maxWriteAttempts {
 		err := a.putLedger(ctx, l)
 		if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrExists) && !errors.Is(err, platform.ErrUnknown) {
 			return err
@@ -91,12 +94,12 @@
 	return platform.ErrConflict
 }
 
-// putLedger writes the ledger. A ledger of this incarnation that is there
-// already is this one: the answer to an earlier write was lost.
+// putLedger creates or replaces the ledger on the platform. An existing ledger of
+// this incarnation is this one: the response to an earlier write was lost.
 func (a *Agent) putLedger(ctx context.Context, l *owner.Ledger) error {
-	o, err := a.deps.Store.Get(ctx, platform.Ledgers, a.object())
+	o, err := a.deps.Store.Get(ctx, platform.Ledgers, a.objectName())
 	if errors.Is(err, platform.ErrNotFound) {
-		_, err = a.deps.Store.Create(ctx, platform.Ledgers, a.object(), l)
+		_, err = a.deps.Store.Create(ctx, platform.Ledgers, a.objectName(), l)
 		return err
 	}
 	if err != nil {
@@ -113,8 +116,8 @@
 	return err
 }
 
-// peerList returns the peers that may hold a ledger, those that are suspected last.
-func (a *Agent) peerList() []member.Member {
+// ledgerPeers returns the peers that may store a ledger, suspected ones last.
+func (a *Agent) ledgerPeers() []member.Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var live, suspected []member.Member
--- a/internal/process/agent/incarnation.go
+++ b/internal/process/agent/incarnation.go
@@ -12,51 +12,51 @@
 	"github.com/wagtailtray/wagtailtray/pkg/platform"
 )
 
-// holder is the platform's record of who holds a target's name.
-type holder struct {
+// incarnationRecord is the platform's record of a target's current incarnation.
+type incarnationRecord struct {
 	Incarnation uint32 `json:"incarnation"`
-	// ID tells whose write this is when an answer was lost.
+	// ID identifies the writer when the response to a write was lost.
 	ID string `json:"id"`
 }
 
 const (
-	// flowsWait is how long the flows of a predecessor wait for a slow platform to give
-	// their target's next incarnation.
-	flowsWait = time.Second
-	// firstWait is how long a target waits that the balancers do not know: only the
-	// platform can tell whether it had a predecessor.
-	firstWait = 10 * time.Second
+	// restartTimeout bounds the wait for the platform when the balancers know a predecessor:
+	// its flows are not served until the incarnation is acquired.
+	restartTimeout = time.Second
+	// firstStartTimeout bounds the wait for the platform when the balancers do not know the
+	// target: only the platform knows whether it had a predecessor.
+	firstStartTimeout = 10 * time.Second
 )
 
-func holdLimit(known uint32) time.Duration {
+func claimTimeout(known uint32) time.Duration {
 	if known > 0 {
-		return flowsWait
+		return restartTimeout
 	}
-	return firstWait
+	return firstStartTimeout
 }
 
-// object is the name of this target's objects in the platform.
-func (a *Agent) object() string {
+// objectName returns the name of this target's objects on the platform.
+func (a *Agent) objectName() string {
 	return a.settings.Service + "." + a.settings.Name
 }
 
-// incarnate takes the next incarnation of the target's name. The platform's
-// conditional update keeps two successors apart; while it is down, the
-// incarnation that the balancers know is counted up instead, and two that do
-// so at once are told apart by the balancers: the later one is superseded.
-func (a *Agent) incarnate(ctx context.Context, known uint32) error {
+// acquireIncarnation acquires the next incarnation of the target. The platform's
+// conditional update gives concurrent successors different incarnations. While the
+// platform is unavailable, the incarnation known to the balancers is incremented
+// instead; if two processes do so at once, the balancers supersede the later one.
+func (a *Agent) acquireIncarnation(ctx context.Context, known uint32) error {
 	next := known + 1
-	mine := holder{ID: uuid.NewString()}
-	limited, cancel := context.WithTimeout(ctx, holdLimit(known))
+	own := incarnationRecord{ID: uuid.NewString()}
+	limited, cancel := context.WithTimeout(ctx, claimTimeout(known))
 	defer cancel()
-	for range tries {
-		n, err := a.hold(limited, known, &mine)
+	for range maxWriteAttempts {
+		n, err := a.claimIncarnation(limited, known, &own)
 		if err == nil {
 			next = n
 			break
 		}
 		if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrExists) {
-			a.deps.Log.Warn().Str("event", "platform").Err(err).Msg("incarnation counted without the platform")
+			a.deps.Log.Warn().Str("event", "platform").Err(err).Msg("platform unavailable; incrementing the incarnation known to the balancers")
 			break
 		}
 	}
@@ -66,38 +66,40 @@
 	return ctx.Err()
 }
 
-func (a *Agent) hold(ctx context.Context, known uint32, mine *holder) (uint32, error) {
-	o, err := a.deps.Store.Get(ctx, platform.Incarnations, a.object())
+// claimIncarnation writes the next incarnation to the platform and returns it.
+func (a *Agent) claimIncarnation(ctx context.Context, known uint32, own *incarnationRecord) (uint32, error) {
+	o, err := a.deps.Store.Get(ctx, platform.Incarnations, a.objectName())
 	if errors.Is(err, platform.ErrNotFound) {
-		mine.Incarnation = known + 1
-		_, err = a.deps.Store.Create(ctx, platform.Incarnations, a.object(), mine)
-		return a.settleHold(ctx, mine, err)
+		own.Incarnation = known + 1
+		_, err = a.deps.Store.Create(ctx, platform.Incarnations, a.objectName(), own)
+		return a.confirmClaim(ctx, own, err)
 	}
 	if err != nil {
 		return 0, err
 	}
-	var old holder
+	var old incarnationRecord
 	if err := json.Unmarshal(o.Spec, &old); err != nil {
 		return 0, errs.Wrap(err)
 	}
-	mine.Incarnation = max(old.Incarnation, known) + 1
-	o.Spec, _ = json.Marshal(mine)
+	own.Incarnation = max(old.Incarnation, known) + 1
+	o.Spec, _ = json.Marshal(own)
 	_, err = a.deps.Store.Update(ctx, platform.Incarnations, o)
-	return a.settleHold(ctx, mine, err)
+	return a.confirmClaim(ctx, own, err)
 }
 
-// settleHold reads back a write whose answer was lost.
-func (a *Agent) settleHold(ctx context.Context, mine *holder, err error) (uint32, error) {
+// confirmClaim returns the result of a write, which it reads back if the response
+// was lost.
+func (a *Agent) confirmClaim(ctx context.Context, own *incarnationRecord, err error) (uint32, error) {
 	if err == nil {
-		return mine.Incarnation, nil
+		return own.Incarnation, nil
 	}
 	if !errors.Is(err, platform.ErrUnknown) {
 		return 0, err
 	}
-	o, e := a.deps.Store.Get(ctx, platform.Incarnations, a.object())
-	var now holder
-	if e != nil || json.Unmarshal(o.Spec, &now) != nil || now.ID != mine.ID {
+	o, getErr := a.deps.Store.Get(ctx, platform.Incarnations, a.objectName())
+	var stored incarnationRecord
+	if getErr != nil || json.Unmarshal(o.Spec, &stored) != nil || stored.ID != own.ID {
 		return 0, platform.ErrConflict
 	}
-	return mine.Incarnation, nil
+	return own.Incarnation, nil
 }
--- a/internal/process/agent/incarnation_test.go
+++ b/internal/process/agent/incarnation_test.go
@@ -9,20 +9,20 @@
 	"github.com/wagtailtray/wagtailtray/pkg/platform"
 )
 
-// sluggish is a store that takes two seconds for each call.
-type sluggish struct {
+// slowStore is a store that takes two seconds for each call.
+type slowStore struct {
 	platform.Store
 }
 
-func (sluggish) Get(ctx context.Context, _ platform.Kind, _ string) (platform.Object, error) {
-	return platform.Object{Spec: []byte(`{"incarnation":3}`)}, pause(ctx)
+func (slowStore) Get(ctx context.Context, _ platform.Kind, _ string) (platform.Object, error) {
+	return platform.Object{Spec: []byte(`{"incarnation":3}`)}, waitTwoSeconds(ctx)
 }
 
-func (sluggish) Update(ctx context.Context, _ platform.Kind, o platform.Object) (platform.Object, error) {
-	return o, pause(ctx)
+func (slowStore) Update(ctx context.Context, _ platform.Kind, o platform.Object) (platform.Object, error) {
+	return o, waitTwoSeconds(ctx)
 }
 
-func pause(ctx context.Context) error {
+func waitTwoSeconds(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return platform.ErrUnavailable
@@ -31,16 +31,16 @@
 	}
 }
 
-// The platform takes two seconds for each call while an agent is restarted. The flows of
-// its predecessor must not wait for it: the balancers know the incarnation as well.
-func TestFlowsDoNotWaitForSlowPlatform(t *testing.T) {
-	a := newTest(t, clock.System())
-	a.deps.Store = sluggish{}
-	began := time.Now()
-	if err := a.incarnate(t.Context(), 3); err != nil {
+// The flows of a restarting agent's predecessor must not wait for a platform that takes two
+// seconds for each call: the balancers know the incarnation as well.
+func TestRestartDoesNotWaitForSlowPlatform(t *testing.T) {
+	a := newTestAgent(t, clock.System())
+	a.deps.Store = slowStore{}
+	start := time.Now()
+	if err := a.acquireIncarnation(t.Context(), 3); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); a.self.Incarnation != 4 || took > 1500*time.Millisecond {
+	if took := time.Since(start); a.self.Incarnation != 4 || took > 1500*time.Millisecond {
 		t.Errorf("incarnation %d after %s", a.self.Incarnation, took)
 	}
 }
--- a/internal/process/agent/load.go
+++ b/internal/process/agent/load.go
@@ -16,54 +16,54 @@
 )
 
 const (
-	// fullWarmth is that of a target which takes its full share.
+	// fullWarmth is the warmth of a target that takes its full share.
 	fullWarmth = 1000
-	// reportBound is the age beyond which an upstream's report is ignored.
-	reportBound = 5 * clock.Second
-	// reportTimeout bounds one question to the load endpoint.
+	// maxReportAge is the age beyond which an upstream's load report is ignored.
+	maxReportAge = 5 * clock.Second
+	// reportTimeout bounds one request to the load endpoint.
 	reportTimeout = time.Second
-	// maxReport bounds what is read of its answer, in bytes.
-	maxReport = 4096
-	// deafFor is how long a target accepts no flows after a datagram found
-	// nobody at the upstream's port.
-	deafFor = 2 * clock.Second
+	// maxReportBytes bounds the size of a load report.
+	maxReportBytes = 4096
+	// unreachableTime is how long a target accepts no flows after the
+	// upstream's port was unreachable.
+	unreachableTime = 2 * clock.Second
 )
 
-// Load is what an upstream says at its load endpoint.
+// Load is the load that an upstream reports at its load endpoint.
 type Load struct {
 	Slots    uint32 `json:"slots"`
 	Busy     uint32 `json:"busy"`
 	Shedding bool   `json:"shedding"`
-	// Connections is the number of open connections; absent when the
-	// upstream does not tell.
+	// Connections is the number of open connections; absent if the upstream
+	// does not report it.
 	Connections *uint32 `json:"connections,omitempty"`
 	// Warmth is in thousandths; absent means warm.
 	Warmth *uint32 `json:"warmth,omitempty"`
 }
 
-// report is the last answer of the load endpoint, with its age.
-type report struct {
-	load Load
-	at   clock.Millis
-	// number is the last opening number when the upstream was asked.
-	number uint64
+// loadReport is a response of the load endpoint.
+type loadReport struct {
+	load       Load
+	receivedAt clock.Millis
+	// lastOpeningNumber is the last opening number at the time of the request.
+	lastOpeningNumber uint64
 }
 
-// own is what the agent knows of its target: what it counts itself, corrected
-// by the upstream's report. The report only ever takes away: it lags and may
-// be wrong, so it can keep flows off the target but never draw them to it.
-func (a *Agent) own() owner.Own {
+// localState returns the state of the agent's target: what the agent counts itself,
+// corrected by the upstream's report. The report lags and may be wrong, so it can
+// keep flows off the target but never attract them.
+func (a *Agent) localState() owner.Own {
 	now := a.deps.Clock.Now()
-	o := owner.Own{Flows: a.table.Len(), Accepting: a.accepting.Load() && !a.deaf(now), Warmth: a.ramp(now)}
+	o := owner.Own{Flows: a.table.Len(), Accepting: a.accepting.Load() && !a.upstreamUnreachable(now), Warmth: a.rampWarmth(now)}
 	o.Slots = a.slots.Load()
-	r := a.report.Load()
-	if r == nil || now.Sub(r.at) > reportBound {
+	r := a.lastReport.Load()
+	if r == nil || now.Sub(r.receivedAt) > maxReportAge {
 		return o
 	}
 	o.Slots, o.Busy = r.load.Slots, r.load.Busy
 	if r.load.Connections != nil {
-		since := int(a.table.LastNumber() - r.number)
-		o.Flows = a.stillOpen(now, o.Flows, int(*r.load.Connections), since)
+		since := int(a.table.LastNumber() - r.lastOpeningNumber)
+		o.Flows = a.openFlows(now, o.Flows, int(*r.load.Connections), since)
 	}
 	if r.load.Shedding {
 		o.Accepting = false
@@ -74,57 +74,59 @@
 	return o
 }
 
-func (a *Agent) stillOpen(now clock.Millis, flows, connections, since int) int {
-	a.trustMu.Lock()
-	defer a.trustMu.Unlock()
-	return a.trust.Flows(now, flows, connections, since, a.table.Active())
+// openFlows returns the number of open flows, corrected by the number of
+// connections that the upstream reported.
+func (a *Agent) openFlows(now clock.Millis, flows, connections, since int) int {
+	a.estimatorMu.Lock()
+	defer a.estimatorMu.Unlock()
+	return a.estimator.Flows(now, flows, connections, since, a.table.Active())
 }
 
-// ramp is the warmth of a target whose upstream reports none: it grows with
-// the agent's own age, unless the agent took over running flows.
-func (a *Agent) ramp(now clock.Millis) uint32 {
-	ramp := clock.Millis(a.rampTime.Load())
-	age := now.Sub(a.started)
-	if ramp <= 0 || age >= ramp || a.inherited.Load() {
+// rampWarmth returns the warmth of a target whose upstream reports none: it grows
+// with the agent's age, unless the agent took over running flows.
+func (a *Agent) rampWarmth(now clock.Millis) uint32 {
+	ramp := clock.Millis(a.rampMillis.Load())
+	age := now.Sub(a.startedAt)
+	if ramp <= 0 || age >= ramp || a.tookOver.Load() {
 		return fullWarmth
 	}
 	return uint32(age * fullWarmth / ramp)
 }
 
-// deaf reports that nobody listens at the upstream's port.
+// upstreamUnreachable reports whether the upstream's port was unreachable recently.
 //
-// A dead upstream beside a living agent looks idle. The system's own answer that the port
-// is closed keeps new flows away, until it stays out for a while.
-func (a *Agent) deaf(now clock.Millis) bool {
+// A dead upstream beside a running agent looks idle. The ICMP errors of the closed port
+// keep new flows away until none has arrived for unreachableTime.
+func (a *Agent) upstreamUnreachable(now clock.Millis) bool {
 	refused := a.pool.Refused()
-	if last := a.deafSeen.Swap(refused); refused > last {
-		a.deafSince.Store(int64(now))
+	if last := a.unreachableSeen.Swap(refused); refused > last {
+		a.unreachableSince.Store(int64(now))
 	}
-	since := clock.Millis(a.deafSince.Load())
-	return since != 0 && now.Sub(since) < deafFor
+	since := clock.Millis(a.unreachableSince.Load())
+	return since != 0 && now.Sub(since) < unreachableTime
 }
 
-// refresh asks the load endpoint. It is asked right before a digest, so that
-// peers hear of ended flows as early as they can.
-func (a *Agent) refresh(ctx context.Context, client *http.Client) {
-	number := a.table.LastNumber()
-	l, err := ask(ctx, client, a.settings.Load)
+// queryLoad queries the load endpoint. This happens right before each digest, so
+// that peers learn of ended flows as early as possible.
+func (a *Agent) queryLoad(ctx context.Context, client *http.Client) {
+	lastOpeningNumber := a.table.LastNumber()
+	l, err := fetchLoad(ctx, client, a.settings.Load)
 	if err != nil {
 		return
 	}
 	now := a.deps.Clock.Now()
-	a.report.Store(&report{load: l, at: now, number: number})
+	a.lastReport.Store(&loadReport{load: l, receivedAt: now, lastOpeningNumber: lastOpeningNumber})
 	if l.Connections != nil {
-		a.trustMu.Lock()
-		a.trust.Report(now, a.table.Len(), int(*l.Connections), a.table.EndedFlows())
-		state := a.trust.State(now)
-		a.trustMu.Unlock()
+		a.estimatorMu.Lock()
+		a.estimator.Report(now, a.table.Len(), int(*l.Connections), a.table.EndedFlows())
+		state := a.estimator.State(now)
+		a.estimatorMu.Unlock()
 		a.deps.Log.Debug().Str("event", "load").Str("report", state).Int("flows", a.table.Len()).
-			Uint32("connections", *l.Connections).Int("active", a.table.Active()).Msg("asked the upstream")
+			Uint32("connections", *l.Connections).Int("active", a.table.Active()).Msg("queried the load endpoint")
 	}
 }
 
-func ask(ctx context.Context, client *http.Client, address string) (Load, error) {
+func fetchLoad(ctx context.Context, client *http.Client, address string) (Load, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
 	if err != nil {
 		return Load{}, err
@@ -135,31 +137,31 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	var l Load
-	err = json.NewDecoder(io.LimitReader(res.Body, maxReport)).Decode(&l)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxReportBytes)).Decode(&l)
 	return l, err
 }
 
-// digests tells the peers of the service this target's load.
-func (a *Agent) digests(ctx context.Context) {
+// runDigests sends this target's load to its peers until the context ends.
+func (a *Agent) runDigests(ctx context.Context) {
 	client := &http.Client{Timeout: reportTimeout}
 	defer client.CloseIdleConnections()
-	for sleep(ctx, a.digestEvery()) {
+	for sleep(ctx, a.digestInterval()) {
 		if a.settings.Load != "" {
-			a.refresh(ctx, client)
+			a.queryLoad(ctx, client)
 		}
-		a.tellLoad()
+		a.sendDigests()
 	}
 }
 
-func (a *Agent) tellLoad() {
+func (a *Agent) sendDigests() {
 	view := a.view.Load()
-	own := a.own()
+	local := a.localState()
 	d := &wire.Digest{
-		Sequence: a.sequence.Add(1), Flows: uint32(own.Flows), Opening: uint32(a.table.Opening()),
-		Busy: own.Busy, Slots: own.Slots, Warmth: own.Warmth, Accepting: own.Accepting,
+		Sequence: a.sequence.Add(1), Flows: uint32(local.Flows), Opening: uint32(a.table.Opening()),
+		Busy: local.Busy, Slots: local.Slots, Warmth: local.Warmth, Accepting: local.Accepting,
 		Sender: view.Self, Incarnation: view.Incarnation,
 	}
-	a.count.flows.Update(float64(own.Flows))
+	a.count.flows.Update(float64(local.Flows))
 	var out []byte
 	for i := range view.Set.Targets {
 		t := &view.Set.Targets[i]
@@ -178,8 +180,8 @@
 	}
 }
 
-// digested takes a peer's digest.
-func (a *Agent) digested(now clock.Millis, e *wire.Envelope) {
+// handleDigest handles a peer's digest.
+func (a *Agent) handleDigest(now clock.Millis, e *wire.Envelope) {
 	if !a.addressed(e) {
 		return
 	}
@@ -190,34 +192,35 @@
 	a.count.digests.Inc(1)
 }
 
-// sweeps ends the flows that are over and tells their homes.
-func (a *Agent) sweeps(ctx context.Context) {
+// runSweeps ends expired flows and notifies their homes until the context ends.
+func (a *Agent) runSweeps(ctx context.Context) {
 	for sleep(ctx, clock.Second) {
 		now := a.deps.Clock.Now()
-		for _, f := range a.table.Expire(now, a.drainOver(now)) {
+		for _, f := range a.table.Expire(now, a.drainExpired(now)) {
 			f.Link.Close()
 			a.count.ended.Inc(1)
-			a.flowLine("ended", f)
-			a.tellEnd(f)
+			a.logFlow("ended", f)
+			a.notifyHomeEnded(f)
 		}
 	}
 }
 
-// drainOver reports that the target drains for longer than the answers allow.
-// What is left of its flows ends then, as the operators have said.
-func (a *Agent) drainOver(now clock.Millis) bool {
+// drainExpired reports whether the target has been draining for longer than the
+// service's drain limit. Its remaining flows are ended then.
+func (a *Agent) drainExpired(now clock.Millis) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.self.State != member.Draining || a.record.Drain == 0 || now.Sub(a.draining) <= a.record.Drain {
+	if a.self.State != member.Draining || a.service.Drain == 0 || now.Sub(a.drainingSince) <= a.service.Drain {
 		return false
 	}
 	if n := a.table.Len(); n > 0 {
-		a.deps.Log.Warn().Str("event", "drained").Int("flows", n).Msg("the drain has reached its limit")
+		a.deps.Log.Warn().Str("event", "drained").Int("flows", n).Msg("drain limit reached; ending the remaining flows")
 	}
 	return true
 }
 
-func (a *Agent) tellEnd(f *owner.Flow) {
+// notifyHomeEnded tells a flow's home that the flow has ended.
+func (a *Agent) notifyHomeEnded(f *owner.Flow) {
 	view := a.view.Load()
 	if f.Home == view.Self {
 		return
@@ -226,14 +229,14 @@
 	if !ok {
 		return
 	}
-	e := a.about(wire.Kind_KIND_ENDED, f, home)
+	e := a.homeMessage(wire.Kind_KIND_ENDED, f, home)
 	if out, err := a.sealer.Seal(nil, e); err == nil {
 		_, _ = a.tunnel.WriteToUDPAddrPort(out, home.Tunnel)
 	}
 }
 
-// about is a message to a home about a flow of this target.
-func (a *Agent) about(kind wire.Kind, f *owner.Flow, home *target.Candidate) *wire.Envelope {
+// homeMessage returns a message about a flow of this target to the flow's home.
+func (a *Agent) homeMessage(kind wire.Kind, f *owner.Flow, home *target.Candidate) *wire.Envelope {
 	view := a.view.Load()
 	return &wire.Envelope{
 		Kind: kind, Service: view.Set.Service, Target: home.ID, Incarnation: home.Incarnation,
@@ -241,6 +244,7 @@
 	}
 }
 
+// sleep waits and reports false if the context ended first.
 func sleep(ctx context.Context, d clock.Millis) bool {
 	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
--- a/internal/process/agent/start_test.go
+++ b/internal/process/agent/start_test.go
@@ -16,14 +16,14 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// contact is a balancer that knows the service. It answers a target that has a tunnel only
-// after it was told to.
-type contact struct {
+// blockingBalancer is a balancer that knows the service. Its replies to a target that has a
+// tunnel block until release is closed.
+type blockingBalancer struct {
 	announced chan netip.AddrPort
-	answer    chan struct{}
+	release   chan struct{}
 }
 
-func (c *contact) Handle(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
+func (b *blockingBalancer) Handle(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
 	r, err := control.Read[wire.Announce](params)
 	if err != nil {
 		return nil, err
@@ -32,32 +32,32 @@
 	reply.Record, _ = json.Marshal(config.Service{Number: 1, Flows: 10, Idle: clock.Minute})
 	reply.Timing, _ = json.Marshal(config.Timing{Heartbeat: clock.Second, Lease: clock.Minute})
 	if len(r.Member.Tunnels) > 0 {
-		c.announced <- netip.MustParseAddrPort(r.Member.Tunnels[0])
-		<-c.answer
+		b.announced <- netip.MustParseAddrPort(r.Member.Tunnels[0])
+		<-b.release
 	}
 	return reply, nil
 }
 
-// A balancer that a starting agent announces itself to has just died or is slow. The
-// flows that the agent has taken over must not wait for its answer.
-func TestServesBeforeContactsAnswer(t *testing.T) {
-	c := &contact{announced: make(chan netip.AddrPort, 1), answer: make(chan struct{})}
-	a := newTest(t, clock.System())
+// A balancer that a starting agent announces itself to may be dead or slow. The flows that
+// the agent has taken over must not wait for its reply.
+func TestServesBeforeBalancersReply(t *testing.T) {
+	balancer := &blockingBalancer{announced: make(chan netip.AddrPort, 1), release: make(chan struct{})}
+	a := newTestAgent(t, clock.System())
 	scope := tally.NewTestScope("", nil)
 	a.count = newCounters(scope)
-	server, err := control.Serve(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"), a.deps.Ring, c)
+	server, err := control.Serve(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"), a.deps.Ring, balancer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	a.deps.Store = &store{silent: 1000}
+	a.deps.Store = &fakeStore{failures: 1000}
 	a.settings.Control = netip.MustParseAddrPort("127.0.0.1:0")
 	a.settings.Upstream = netip.MustParseAddrPort("127.0.0.1:9")
 	a.settings.Balancers = []netip.AddrPort{server.Address()}
 	defer a.Kill()
 	started := make(chan error, 1)
 	go func() { started <- a.Start(t.Context()) }()
-	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(<-c.announced))
+	conn, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(<-balancer.announced))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,9 +67,9 @@
 	}
 	time.Sleep(callTimeout / 4)
 	if n := scope.Snapshot().Counters()["malformed+"]; n == nil || n.Value() == 0 {
-		t.Error("nothing is read from the tunnel before the contact has answered")
+		t.Error("the tunnel is not read before the balancer has replied")
 	}
-	close(c.answer)
+	close(balancer.release)
 	if err := <-started; err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/agent/takeover.go
+++ b/internal/process/agent/takeover.go
@@ -16,30 +16,31 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// errUnreadable is returned for what is no ledger: asking again would change nothing.
+// errUnreadable is returned for data that is not a ledger. Retrying would not help.
 var errUnreadable = errs.New("agent: unreadable ledger")
 
 const (
-	// takeoverLimit bounds how long a starting agent asks for its predecessor's flows
-	// while somebody who may have them does not answer.
-	takeoverLimit = 5 * time.Second
-	// firstPause is between the first two rounds of questions; it grows, and is drawn.
-	firstPause = 100 * time.Millisecond
+	// takeoverTimeout bounds how long a starting agent looks for its predecessor's flows
+	// while a source that may have them does not answer.
+	takeoverTimeout = 5 * time.Second
+	// initialRetryDelay is the delay before the first retry. Later delays grow and are
+	// randomized.
+	initialRetryDelay = 100 * time.Millisecond
 )
 
-// source is somebody who may have a ledger of a predecessor.
-type source struct {
+// ledgerSource is the platform or a peer, which may have a ledger of a predecessor.
+type ledgerSource struct {
 	name string
-	// suspected sources are asked once.
+	// suspected sources are queried only once.
 	suspected bool
-	// ask returns nil for a source that has none.
-	ask func(context.Context) (*owner.Ledger, error)
+	// fetch returns nil if the source has no ledger.
+	fetch func(context.Context) (*owner.Ledger, error)
 }
 
-// takeLedger takes up what the predecessor left with the platform or a peer. If the agent
-// is told to stop meanwhile, it leaves the flows for the next one: who gave them gives them
-// to nobody else.
-func (a *Agent) takeLedger(ctx context.Context) error {
+// restoreLedger restores the flows that the predecessor left with the platform or a peer. If
+// the agent is stopped in the meantime, it hands the flows over to the next incarnation,
+// since a peer that returned its ledger does not return it to another incarnation.
+func (a *Agent) restoreLedger(ctx context.Context) error {
 	l := a.findLedger(context.WithoutCancel(ctx))
 	if l == nil {
 		return ctx.Err()
@@ -50,93 +51,94 @@
 		return ctx.Err()
 	}
 	lost := a.table.Import(a.deps.Clock.Now(), l, a.pool)
-	a.inherited.Store(true)
+	a.tookOver.Store(true)
 	a.count.restored.Inc(int64(len(l.Flows) - len(lost)))
 	a.count.unrestored.Inc(int64(len(lost)))
 	for _, caller := range lost {
-		a.deps.Log.Error().Str("event", "unrestored").Stringer("caller", caller).Msg("local port not free, flow lost")
+		a.deps.Log.Error().Str("event", "unrestored").Stringer("caller", caller).Msg("flow lost: local port is not available")
 	}
 	a.deps.Log.Info().Str("event", "restored").Int("flows", len(l.Flows)-len(lost)).
-		Uint32("of", l.Incarnation).Uint32("incarnation", a.self.Incarnation).Msg("flows taken over")
+		Uint32("of", l.Incarnation).Uint32("incarnation", a.self.Incarnation).Msg("restored the flows of a predecessor")
 	return nil
 }
 
 // findLedger returns the newest ledger of the predecessors.
 //
-// The platform goes first, and its ledger of the direct predecessor ends the search. An
-// older one is not enough: its successor may not have been able to remove it, and may have
-// left its own flows with a peer while the platform was away.
+// The platform is queried first, and a ledger of the direct predecessor ends the search. An
+// older ledger does not: its successor may have failed to remove it, and may have handed its
+// own flows over to a peer while the platform was unavailable.
 func (a *Agent) findLedger(ctx context.Context) *owner.Ledger {
 	if a.self.Incarnation <= 1 {
 		return nil
 	}
-	l, silent := a.ask(ctx, []source{a.platformSource()}, callTimeout)
-	if a.fromDirect(l) {
+	l, retry := a.querySources(ctx, []ledgerSource{a.platformSource()}, callTimeout)
+	if a.isFromPredecessor(l) {
 		return l
 	}
-	return a.newer(l, a.askAll(ctx, append(silent, a.peerSources()...)))
+	return a.newerLedger(l, a.queryAll(ctx, append(retry, a.peerSources()...)))
 }
 
-// askAll asks sources until each has answered, or until there is nothing newer to be had.
-// Who does not answer is asked again and given longer.
-func (a *Agent) askAll(ctx context.Context, left []source) *owner.Ledger {
-	ctx, cancel := context.WithTimeout(ctx, takeoverLimit)
+// queryAll queries sources until each has answered or the ledger of the direct predecessor
+// is found. Sources that do not answer are retried with a longer timeout.
+func (a *Agent) queryAll(ctx context.Context, remaining []ledgerSource) *owner.Ledger {
+	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstPause
+	delay := backoff.NewExponentialBackOff()
+	delay.InitialInterval = initialRetryDelay
 	var newest *owner.Ledger
-	for timeout := callTimeout; len(left) > 0 && ctx.Err() == nil; timeout *= 2 {
+	for timeout := callTimeout; len(remaining) > 0 && ctx.Err() == nil; timeout *= 2 {
 		var l *owner.Ledger
-		l, left = a.ask(ctx, left, timeout)
-		newest = a.newer(newest, l)
-		if a.fromDirect(newest) || len(left) == 0 {
+		l, remaining = a.querySources(ctx, remaining, timeout)
+		newest = a.newerLedger(newest, l)
+		if a.isFromPredecessor(newest) || len(remaining) == 0 {
 			break
 		}
-		sleep(ctx, clock.Of(pause.NextBackOff()))
+		sleep(ctx, clock.Of(delay.NextBackOff()))
 	}
 	return newest
 }
 
-// answer is what a source said.
-type answer struct {
-	source source
+// sourceResult is the result of querying a source.
+type sourceResult struct {
+	source ledgerSource
 	ledger *owner.Ledger
 	err    error
 }
 
-// ask asks sources at once. It returns the newest ledger among their answers, and who is
-// to be asked again.
-func (a *Agent) ask(ctx context.Context, sources []source, timeout time.Duration) (*owner.Ledger, []source) {
+// querySources queries sources concurrently. It returns the newest ledger and the sources
+// to retry.
+func (a *Agent) querySources(ctx context.Context, sources []ledgerSource, timeout time.Duration) (*owner.Ledger, []ledgerSource) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answers := make(chan answer, len(sources))
+	results := make(chan sourceResult, len(sources))
 	for _, s := range sources {
 		go func() {
-			l, err := s.ask(ctx)
-			answers <- answer{source: s, ledger: l, err: err}
+			l, err := s.fetch(ctx)
+			results <- sourceResult{source: s, ledger: l, err: err}
 		}()
 	}
 	var newest *owner.Ledger
-	var silent []source
+	var retry []ledgerSource
 	for range sources {
-		r := <-answers
-		newest = a.newer(newest, r.ledger)
-		if a.fromDirect(newest) {
+		r := <-results
+		newest = a.newerLedger(newest, r.ledger)
+		if a.isFromPredecessor(newest) {
 			return newest, nil
 		}
 		if r.err == nil {
 			continue
 		}
-		a.deps.Log.Warn().Str("event", "ledger").Str("source", r.source.name).Err(r.err).Msg("not heard on a ledger")
+		a.deps.Log.Warn().Str("event", "ledger").Str("source", r.source.name).Err(r.err).Msg("cannot get a ledger from this source")
 		if !r.source.suspected && !errors.Is(r.err, errUnreadable) {
-			silent = append(silent, r.source)
+			retry = append(retry, r.source)
 		}
 	}
-	return newest, silent
+	return newest, retry
 }
 
-// newer returns the later one of two ledgers of predecessors; either may be nil.
-func (a *Agent) newer(l, other *owner.Ledger) *owner.Ledger {
+// newerLedger returns the newer of two ledgers, either of which may be nil. It ignores
+// other if that is not the ledger of a predecessor.
+func (a *Agent) newerLedger(l, other *owner.Ledger) *owner.Ledger {
 	if other == nil || other.Incarnation >= a.self.Incarnation {
 		return l
 	}
@@ -146,13 +148,14 @@
 	return l
 }
 
-// fromDirect reports a ledger of the direct predecessor: there is no newer one.
-func (a *Agent) fromDirect(l *owner.Ledger) bool {
+// isFromPredecessor reports whether a ledger is that of the direct predecessor, which is
+// the newest one possible.
+func (a *Agent) isFromPredecessor(l *owner.Ledger) bool {
 	return l != nil && l.Incarnation+1 == a.self.Incarnation
 }
 
-func (a *Agent) platformSource() source {
-	return source{name: "platform", ask: func(ctx context.Context) (*owner.Ledger, error) {
+func (a *Agent) platformSource() ledgerSource {
+	return ledgerSource{name: "platform", fetch: func(ctx context.Context) (*owner.Ledger, error) {
 		_, l, err := a.storedLedger(ctx)
 		if errors.Is(err, platform.ErrNotFound) {
 			return nil, nil
@@ -162,31 +165,31 @@
 }
 
 func (a *Agent) storedLedger(ctx context.Context) (platform.Object, *owner.Ledger, error) {
-	o, err := a.deps.Store.Get(ctx, platform.Ledgers, a.object())
+	o, err := a.deps.Store.Get(ctx, platform.Ledgers, a.objectName())
 	if err != nil {
 		return o, nil, err
 	}
-	l, err := readLedger(o.Spec)
+	l, err := decodeLedger(o.Spec)
 	return o, l, err
 }
 
-func (a *Agent) peerSources() []source {
-	var all []source
-	for _, p := range a.peerList() {
-		all = append(all, source{name: p.Name, suspected: p.Suspected, ask: func(ctx context.Context) (*owner.Ledger, error) {
+func (a *Agent) peerSources() []ledgerSource {
+	var all []ledgerSource
+	for _, p := range a.ledgerPeers() {
+		all = append(all, ledgerSource{name: p.Name, suspected: p.Suspected, fetch: func(ctx context.Context) (*owner.Ledger, error) {
 			var reply wire.Taken
-			request := &wire.Take{Target: a.object(), Incarnation: a.self.Incarnation}
+			request := &wire.Take{Target: a.objectName(), Incarnation: a.self.Incarnation}
 			if err := a.client.Call(ctx, p.Control, control.Take, request, &reply); err != nil {
 				return nil, err
 			}
-			return readLedger(reply.Ledger)
+			return decodeLedger(reply.Ledger)
 		}})
 	}
 	return all
 }
 
-// readLedger reads what was kept; nothing means that there is no ledger.
-func readLedger(data []byte) (*owner.Ledger, error) {
+// decodeLedger decodes a stored ledger. It returns nil if data is empty.
+func decodeLedger(data []byte) (*owner.Ledger, error) {
 	if len(data) == 0 {
 		return nil, nil
 	}
@@ -197,8 +200,8 @@
 	return &l, nil
 }
 
-// removeLedger takes what predecessors have left out of the platform. It runs when the
-// flows are served, so that they do not wait for it.
+// removeLedger deletes the ledger of predecessors from the platform. It runs once the flows
+// are served, so that it does not delay them.
 func (a *Agent) removeLedger(ctx context.Context) {
 	o, l, err := a.storedLedger(ctx)
 	if errors.Is(err, platform.ErrNotFound) || l != nil && l.Incarnation >= a.self.Incarnation {
@@ -208,6 +211,6 @@
 		err = a.deps.Store.Delete(ctx, platform.Ledgers, o)
 	}
 	if err != nil {
-		a.deps.Log.Warn().Str("event", "platform").Err(err).Msg("ledger not removed; a later one goes before it")
+		a.deps.Log.Warn().Str("event", "platform").Err(err).Msg("cannot remove the ledger; a newer ledger takes precedence over it")
 	}
 }
--- a/internal/process/agent/tunnel.go
+++ b/internal/process/agent/tunnel.go
@@ -15,7 +15,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// worker holds what one envelope needs, and is used for the next one again.
+// worker holds the buffers for one envelope at a time and is reused.
 type worker struct {
 	in       [envelope.MaxDatagram]byte
 	size     int
@@ -46,7 +46,7 @@
 			continue
 		}
 		w.size = n
-		a.take(w, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		a.handleDatagram(w, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
 
@@ -54,16 +54,16 @@
 	return &worker{out: make([]byte, 0, envelope.MaxDatagram), opener: envelope.NewOpener(a.deps.Ring)}
 }
 
-// take does what the datagram in a worker's buffer asks for.
-func (a *Agent) take(w *worker, from netip.AddrPort) {
+// handleDatagram opens and handles the envelope in the worker's buffer.
+func (a *Agent) handleDatagram(w *worker, from netip.AddrPort) {
 	if err := w.opener.Open(&w.envelope, w.in[:w.size]); err != nil {
-		a.reject(err)
+		a.countInvalid(err)
 		return
 	}
-	a.receive(w, from)
+	a.dispatch(w, from)
 }
 
-func (a *Agent) reject(err error) {
+func (a *Agent) countInvalid(err error) {
 	if errors.Is(err, envelope.ErrForged) {
 		a.count.forged.Inc(1)
 		return
@@ -71,36 +71,37 @@
 	a.count.malformed.Inc(1)
 }
 
-func (a *Agent) receive(w *worker, from netip.AddrPort) {
+func (a *Agent) dispatch(w *worker, from netip.AddrPort) {
 	now := a.deps.Clock.Now()
 	e := &w.envelope
 	switch e.Kind {
 	case wire.Kind_KIND_FORWARD:
-		a.forwarded(w, now, from)
+		a.handleForward(w, now, from)
 	case wire.Kind_KIND_DIGEST:
-		a.digested(now, e)
+		a.handleDigest(now, e)
 	case wire.Kind_KIND_ENDED, wire.Kind_KIND_FOUND:
-		a.told(now, e)
+		a.handleFlowUpdate(now, e)
 	case wire.Kind_KIND_ACK:
-		a.acked(now, e)
+		a.handleAck(now, e)
 	case wire.Kind_KIND_LEAVE:
-		a.leaving(from)
+		a.handleBalancerLeave(from)
 	default:
 		a.count.malformed.Inc(1)
 	}
 }
 
-// fenced reports that no heartbeat was answered within the lease.
+// fenced reports whether the lease has expired, that is whether no heartbeat sent within
+// the lease time was answered.
 //
-// A process that was paused may have been replaced. It holds what it reads until a
-// heartbeat sent after the pause is answered, and that answer tells it of the successor.
+// A process that was paused may have been superseded. It queues what it reads until a
+// heartbeat sent after the pause is answered; that answer tells it about the successor.
 func (a *Agent) fenced(now clock.Millis) bool {
-	return now.Sub(clock.Millis(a.confirmed.Load())) > a.lease()
+	return now.Sub(clock.Millis(a.leaseStart.Load())) > a.lease()
 }
 
-func (a *Agent) forwarded(w *worker, now clock.Millis, from netip.AddrPort) {
+func (a *Agent) handleForward(w *worker, now clock.Millis, from netip.AddrPort) {
 	if a.fenced(now) {
-		a.holdBack(w, now, from)
+		a.enqueue(w, now, from)
 		return
 	}
 	e := &w.envelope
@@ -110,33 +111,33 @@
 	}
 	view := a.view.Load()
 	arrival := owner.Arrival{Now: now, Envelope: e, Via: via, Random: rand.Float64()}
-	var own owner.Own
+	var local owner.Own
 	if e.Stage != wire.Stage_STAGE_OWNED {
-		// Only who may place or adopt a flow needs the load; it takes a
-		// lock that all workers share.
-		own = a.own()
+		// The load is needed only to place or adopt a flow; reading it
+		// takes a lock that all workers share.
+		local = a.localState()
 	}
-	d := a.table.Take(arrival, view, own, a.pool)
+	d := a.table.Take(arrival, view, local, a.pool)
 	if len(e.Trace) > 0 {
 		e.Trace = a.deps.Tracer.Hop(e.Trace, "agent."+d.Action.String(), trace.Hop{
 			Service: e.Service, Target: view.Self, Caller: envelope.Caller(e.Caller).String(), Outcome: string(d.Reason),
 		})
 	}
 	if d.Outlived > 0 {
-		a.outlived(envelope.Caller(e.Caller), d.Outlived)
+		a.logOutlived(envelope.Caller(e.Caller), d.Outlived)
 	}
-	a.act(w, d, via)
+	a.execute(w, d, via)
 }
 
-// outlived tells the operators of a flow that broke because it was idle for too long.
-func (a *Agent) outlived(caller netip.AddrPort, silent clock.Millis) {
+// logOutlived logs a flow that went on after it was ended as idle, which broke it.
+func (a *Agent) logOutlived(caller netip.AddrPort, silent clock.Millis) {
 	a.count.outlived.Inc(1)
-	a.lines.Warn().Str("event", "outlived").Stringer("caller", caller).Int64("age", int64(silent)).
-		Msg("the flow went on after it was ended as idle: its connection may be silent for longer than the service's idle time")
+	a.flowLog.Warn().Str("event", "outlived").Stringer("caller", caller).Int64("age", int64(silent)).
+		Msg("flow continued after it was ended as idle: its connection may be silent for longer than the service's idle timeout")
 }
 
-// told takes what an owner says about a flow to the flow's home.
-func (a *Agent) told(now clock.Millis, e *wire.Envelope) {
+// handleFlowUpdate handles a message of a flow's owner to the flow's home.
+func (a *Agent) handleFlowUpdate(now clock.Millis, e *wire.Envelope) {
 	if !a.addressed(e) {
 		return
 	}
@@ -147,8 +148,9 @@
 	a.table.Found(now, envelope.Caller(e.Caller), e.Home)
 }
 
-// addressed reports that an envelope is for this target and incarnation. One
-// for another service's target that was at this address before is not.
+// addressed reports whether an envelope is for this target and incarnation,
+// rather than for another service's target that had this address before. It
+// counts those that are not.
 func (a *Agent) addressed(e *wire.Envelope) bool {
 	view := a.view.Load()
 	if e.Service == view.Set.Service && e.Target == view.Self && e.Incarnation == view.Incarnation {
@@ -158,12 +160,13 @@
 	return false
 }
 
-func (a *Agent) act(w *worker, d owner.Decision, via netip.AddrPort) {
+// execute carries out a decision of the flow table.
+func (a *Agent) execute(w *worker, d owner.Decision, via netip.AddrPort) {
 	switch d.Action {
 	case owner.Deliver:
 		a.deliver(w, d, via)
 	case owner.Pass:
-		a.pass(w, d, via)
+		a.forwardToPeer(w, d, via)
 	case owner.Refuse:
 		a.refuse(w, via)
 	default:
@@ -174,7 +177,7 @@
 func (a *Agent) deliver(w *worker, d owner.Decision, via netip.AddrPort) {
 	if d.Adopted {
 		a.count.adopted.Inc(1)
-		a.flowLine("adopted", d.Flow)
+		a.logFlow("adopted", d.Flow)
 	}
 	if d.Moved {
 		a.count.moved.Inc(1)
@@ -185,15 +188,15 @@
 		a.count.delivered.Inc(1)
 	}
 	if w.envelope.Ask {
-		a.hint(w, via)
+		a.sendHint(w, via)
 	}
 	if d.Searcher != nil {
-		a.seal(w, a.about(wire.Kind_KIND_FOUND, d.Flow, d.Searcher), d.Searcher.Tunnel)
+		a.send(w, a.homeMessage(wire.Kind_KIND_FOUND, d.Flow, d.Searcher), d.Searcher.Tunnel)
 	}
 }
 
-// hint tells a balancer that asked who owns the flow.
-func (a *Agent) hint(w *worker, via netip.AddrPort) {
+// sendHint tells a balancer that asked for it that this target owns the flow.
+func (a *Agent) sendHint(w *worker, via netip.AddrPort) {
 	e := &w.envelope
 	view := a.view.Load()
 	hint := wire.Envelope{
@@ -201,11 +204,11 @@
 		Target: view.Self, Incarnation: view.Incarnation,
 	}
 	a.count.hinted.Inc(1)
-	a.seal(w, &hint, via)
+	a.send(w, &hint, via)
 }
 
-// seal sends an envelope with the worker's buffer.
-func (a *Agent) seal(w *worker, e *wire.Envelope, to netip.AddrPort) {
+// send seals and sends an envelope, using the worker's buffer.
+func (a *Agent) send(w *worker, e *wire.Envelope, to netip.AddrPort) {
 	out, err := a.sealer.Seal(w.out[:0], e)
 	if err != nil {
 		a.count.large.Inc(1)
@@ -217,18 +220,18 @@
 	}
 }
 
-func (a *Agent) pass(w *worker, d owner.Decision, via netip.AddrPort) {
+func (a *Agent) forwardToPeer(w *worker, d owner.Decision, via netip.AddrPort) {
 	if len(w.envelope.Via) == 0 {
 		w.via = envelope.AppendCaller(w.via[:0], via)
 		w.envelope.Via = w.via
 	}
 	a.count.passed.Inc(1)
-	a.seal(w, &w.envelope, d.To.Tunnel)
+	a.send(w, &w.envelope, d.To.Tunnel)
 }
 
 func (a *Agent) refuse(w *worker, via netip.AddrPort) {
 	caller := envelope.Caller(w.envelope.Caller)
-	a.refused.Add(caller, via)
+	a.refusedCallers.Add(caller, via)
 	if !a.refuser.Refuse(caller, w.envelope.Payload) {
 		a.count.dropped[owner.NoTarget].Inc(1)
 		return
@@ -236,17 +239,17 @@
 	a.count.refused.Inc(1)
 }
 
-// refusal sends what the QUIC library answers to a refused caller.
-func (a *Agent) refusal(caller netip.AddrPort, datagram []byte) {
-	via, ok := a.refused.Get(caller)
+// returnRefusal returns the QUIC library's answer to a refused caller.
+func (a *Agent) returnRefusal(caller netip.AddrPort, datagram []byte) {
+	via, ok := a.refusedCallers.Get(caller)
 	if !ok {
 		return
 	}
-	a.giveBack(caller, 0, datagram, owner.Reply{Via: via})
+	a.returnToCaller(caller, 0, datagram, owner.Reply{Via: via})
 }
 
-// answer takes a datagram of the upstream.
-func (a *Agent) answer(f *owner.Flow, datagram []byte) {
+// handleAnswer handles a datagram of the upstream.
+func (a *Agent) handleAnswer(f *owner.Flow, datagram []byte) {
 	reply, ok := a.table.Answer(a.deps.Clock.Now(), f, datagram)
 	if !ok {
 		a.count.late.Inc(1)
@@ -256,11 +259,11 @@
 	if len(reply.Trace) > 0 {
 		reply.Trace = a.deps.Tracer.Hop(reply.Trace, "agent.answer", trace.Hop{Caller: f.Caller.String()})
 	}
-	a.giveBack(f.Caller, f.Opening, datagram, reply)
+	a.returnToCaller(f.Caller, f.Opening, datagram, reply)
 }
 
-// giveBack brings a datagram to a caller through a balancer.
-func (a *Agent) giveBack(caller netip.AddrPort, opening uint64, datagram []byte, reply owner.Reply) {
+// returnToCaller sends a datagram to a caller through a balancer.
+func (a *Agent) returnToCaller(caller netip.AddrPort, opening uint64, datagram []byte, reply owner.Reply) {
 	view := a.view.Load()
 	if view == nil || !reply.Via.IsValid() {
 		a.count.unsent.Inc(1)
@@ -284,8 +287,9 @@
 	}
 }
 
-// leaving moves the flows that answer through a balancer which stops.
-func (a *Agent) leaving(balancer netip.AddrPort) {
+// handleBalancerLeave moves the flows that are answered through a stopping
+// balancer to another one.
+func (a *Agent) handleBalancerLeave(balancer netip.AddrPort) {
 	other, ok := a.otherBalancer(balancer.Addr())
 	if !ok {
 		return
--- a/internal/process/agent/view.go
+++ b/internal/process/agent/view.go
@@ -13,17 +13,17 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// takeReply brings in what a balancer told: all of it, or only what concerns
-// this target itself. It returns ErrSuperseded where a later process of this
-// target is known.
-func (a *Agent) takeReply(r *wire.Announced, all bool) error {
+// applyReply applies a balancer's reply to an announcement: all of it, or only
+// what concerns this target itself. It returns ErrSuperseded if the balancer
+// knows a later process of this target.
+func (a *Agent) applyReply(r *wire.Announced, all bool) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.self.Incarnation != 0 && r.Incarnation > a.self.Incarnation {
 		return ErrSuperseded
 	}
 	if r.Suspected && a.self.Sequence <= r.Sequence {
-		// Only a higher sequence beats the suspicion.
+		// Only a higher sequence overrides the suspicion.
 		a.self.Sequence = r.Sequence + 1
 	}
 	if !all {
@@ -31,39 +31,41 @@
 	}
 	a.barred = r.Barred
 	if r.Version >= a.version {
-		a.takeRecord(r)
-		a.drained = r.Drain
+		a.applyConfig(r)
+		a.drainRequested = r.Drain
 	}
-	a.takePeers(r)
-	a.setState()
-	a.rebuildLocked()
+	a.applyMembership(r)
+	a.updateState()
+	a.rebuildViewLocked()
 	return nil
 }
 
-// takeRecord takes a later version; a balancer that is behind changes nothing.
-func (a *Agent) takeRecord(r *wire.Announced) {
-	var record config.Service
+// applyConfig applies the configuration in a reply. Balancers include it only if
+// it is newer than the agent's, so a balancer that is behind changes nothing.
+func (a *Agent) applyConfig(r *wire.Announced) {
+	var service config.Service
 	var timing config.Timing
-	if len(r.Record) == 0 || json.Unmarshal(r.Record, &record) != nil || json.Unmarshal(r.Timing, &timing) != nil {
+	if len(r.Record) == 0 || json.Unmarshal(r.Record, &service) != nil || json.Unmarshal(r.Timing, &timing) != nil {
 		return
 	}
-	a.record, a.timing, a.version = record, timing, r.Version
-	a.leaseTime.Store(int64(timing.Lease))
-	a.digestTime.Store(int64(record.Digest))
-	a.rampTime.Store(int64(record.Ramp))
-	a.slots.Store(uint32(record.Slots))
+	a.service, a.timing, a.version = service, timing, r.Version
+	a.leaseMillis.Store(int64(timing.Lease))
+	a.digestMillis.Store(int64(service.Digest))
+	a.rampMillis.Store(int64(service.Ramp))
+	a.slots.Store(uint32(service.Slots))
 	if a.table != nil {
 		a.table.SetLimits(a.limits())
-		a.loads.SetBound(staleDigests * record.Digest)
+		a.loads.SetBound(maxMissedDigests * service.Digest)
 	}
 }
 
-func (a *Agent) takePeers(r *wire.Announced) {
+// applyMembership applies the peers and contacts in a reply, if its view differs.
+func (a *Agent) applyMembership(r *wire.Announced) {
 	if r.View == 0 || r.View == a.viewHash {
 		return
 	}
 	a.viewHash = r.View
-	// New slices: a beat that is being sent reads the old ones without the lock.
+	// New slices: a heartbeat that is being sent reads the old ones without the lock.
 	a.peers, a.contacts, a.tunnels = nil, nil, nil
 	for _, w := range r.Peers {
 		if m, err := member.FromWire(w); err == nil && m.Key != a.self.Key {
@@ -78,64 +80,66 @@
 	}
 }
 
-// setState follows the operators' word. A target that leaves stays so.
-func (a *Agent) setState() {
+// updateState moves the target to its desired state, unless it is leaving or has
+// left. The caller holds a.mu.
+func (a *Agent) updateState() {
 	if a.version == 0 || a.self.State == member.Leaving || a.self.State == member.Left {
 		return
 	}
 	now := a.deps.Clock.Now()
-	wanted := a.wanted(now)
-	if a.self.State == wanted {
+	desired := a.desiredState(now)
+	if a.self.State == desired {
 		return
 	}
-	a.self.State = wanted
-	a.draining = now
+	a.self.State = desired
+	a.drainingSince = now
 	a.self.Sequence++
-	a.accepting.Store(wanted == member.Alive)
-	a.deps.Log.Info().Str("event", "state").Str("state", string(wanted)).Msg("state of the target")
+	a.accepting.Store(desired == member.Alive)
+	a.deps.Log.Info().Str("event", "state").Str("state", string(desired)).Msg("target state changed")
 }
 
-func (a *Agent) wanted(now clock.Millis) member.State {
+// desiredState returns the state that follows from the operators' request, the
+// configuration and the time since the target was first announced.
+func (a *Agent) desiredState(now clock.Millis) member.State {
 	switch {
-	case a.drained || a.barred:
+	case a.drainRequested || a.barred:
 		return member.Draining
-	case a.joining(now):
+	case a.isJoining(now):
 		return member.Joining
 	default:
 		return member.Alive
 	}
 }
 
-// joining reports that the target started not long enough ago for everybody to
-// have heard of it, and has no predecessor's flows that make up for that. See
-// owner.NewsLag.
+// isJoining reports whether the target started so recently that other processes may not
+// know it yet. A target that took over the flows of a predecessor is known already.
 //
-// A ledger alone is not enough: after all agents of a service have stopped for long, each
-// has one and none knows the others. The balancers must still know the predecessor.
-func (a *Agent) joining(now clock.Millis) bool {
-	if a.inherited.Load() && a.familiar {
+// A ledger alone is not enough for that: after all agents of a service were stopped for long,
+// each has one and none knows the others. The balancers must still know the predecessor.
+func (a *Agent) isJoining(now clock.Millis) bool {
+	if a.tookOver.Load() && a.predecessorKnown {
 		return false
 	}
-	return a.joined == 0 || now.Sub(a.joined) <= owner.NewsLag
+	return a.joinedAt == 0 || now.Sub(a.joinedAt) <= owner.NewsLag
 }
 
-// settle ends the joining of the target once its time has passed, and reports
-// that it is to be announced.
-func (a *Agent) settle() bool {
+// refreshState updates the target's state, which ends the joining state once its
+// time has passed. It reports whether the state changed and must be announced.
+func (a *Agent) refreshState() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	before := a.self.State
-	a.setState()
-	if a.self.State == before {
+	old := a.self.State
+	a.updateState()
+	if a.self.State == old {
 		return false
 	}
-	a.rebuildLocked()
+	a.rebuildViewLocked()
 	return true
 }
 
-// rebuildLocked replaces the view that the packet path reads.
-func (a *Agent) rebuildLocked() {
-	if a.record.Number == 0 || a.self.Incarnation == 0 {
+// rebuildViewLocked replaces the view that the packet path reads.
+func (a *Agent) rebuildViewLocked() {
+	if a.service.Number == 0 || a.self.Incarnation == 0 {
 		return
 	}
 	now := a.deps.Clock.Now()
@@ -143,8 +147,8 @@
 	for i := range a.peers {
 		candidates = append(candidates, a.candidate(&a.peers[i]))
 	}
-	set := target.NewSet(a.record.Number, candidates)
-	v := a.observer.View(now, set, a.self.Incarnation, a.record.Resend)
+	set := target.NewSet(a.service.Number, candidates)
+	v := a.observer.View(now, set, a.self.Incarnation, a.service.Resend)
 	if a.loads != nil {
 		a.loads.Keep(set)
 	}
@@ -159,21 +163,21 @@
 }
 
 func (a *Agent) lease() clock.Millis {
-	return clock.Millis(a.leaseTime.Load())
+	return clock.Millis(a.leaseMillis.Load())
 }
 
-func (a *Agent) digestEvery() clock.Millis {
-	return max(clock.Millis(a.digestTime.Load()), leastEvery)
+func (a *Agent) digestInterval() clock.Millis {
+	return max(clock.Millis(a.digestMillis.Load()), minInterval)
 }
 
-// leastEvery keeps a loop from spinning on a value that is not set yet.
-const leastEvery = 50 * clock.Millis(1)
+// minInterval keeps a loop from spinning on an interval that is not set yet.
+const minInterval = 50 * clock.Millis(1)
 
-// otherBalancer returns a contact's tunnel on another VM than the address.
-func (a *Agent) otherBalancer(not netip.Addr) (netip.AddrPort, bool) {
+// otherBalancer returns the tunnel of a contact on a VM with another address.
+func (a *Agent) otherBalancer(exclude netip.Addr) (netip.AddrPort, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	i := slices.IndexFunc(a.tunnels, func(t netip.AddrPort) bool { return t.Addr() != not })
+	i := slices.IndexFunc(a.tunnels, func(t netip.AddrPort) bool { return t.Addr() != exclude })
 	if i < 0 {
 		return netip.AddrPort{}, false
 	}
