--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -271,11 +271,11 @@
 
 // contacts returns where each target's heartbeats go.
 func (f *fleet) contacts() [][]netip.AddrPort {
-	var all []member.Since
+	var all []member.Observed
 	for i, b := range f.balancers {
 		m := balancerRecord(i)
 		m.Tunnels = b.Tunnels()
-		all = append(all, member.Since{Member: m})
+		all = append(all, member.Observed{Member: m})
 	}
 	out := make([][]netip.AddrPort, len(f.targets))
 	for i := range f.targets {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -264,7 +264,7 @@
 }
 
 func orphansTime(n int) (float64, error) {
-	balancers := make([]member.Since, 490)
+	balancers := make([]member.Observed, 490)
 	for i := range balancers {
 		balancers[i].Member = balancerRecord(i)
 	}
--- a/internal/process/balancer/contact.go
+++ b/internal/process/balancer/contact.go
@@ -36,7 +36,7 @@
 func (b *Balancer) announced(r *wire.Announce) (*wire.Announced, error) {
 	m, err := member.FromWire(r.Member)
 	if err != nil || m.Kind != member.Target {
-		return nil, member.ErrMember
+		return nil, member.ErrMalformed
 	}
 	b.count.announce.Inc(1)
 	b.mu.Lock()
@@ -105,7 +105,7 @@
 	c.made = b.stamp(m.Service)
 	state := b.book.State()
 	c.peers = nil
-	for _, p := range b.table.Service(m.Service) {
+	for _, p := range b.table.Targets(m.Service) {
 		if _, ok := candidate(state, &p.Member); !ok {
 			continue
 		}
@@ -205,7 +205,7 @@
 // mine reports, with mu held, that the target should announce itself here.
 func (b *Balancer) mine(m member.Member) bool {
 	contacts := member.Contacts(b.table.Balancers(), m.Domain, m.Name)
-	return slices.ContainsFunc(contacts, func(c member.Since) bool { return c.Name == b.settings.Name })
+	return slices.ContainsFunc(contacts, func(c member.Observed) bool { return c.Name == b.settings.Name })
 }
 
 // suspect spreads a suspicion.
@@ -231,12 +231,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	balancers := b.table.Balancers()
-	for _, m := range b.table.All(isTarget) {
+	for _, m := range b.table.Filter(isTarget) {
 		if _, ok := b.heard[m.Key]; ok || m.Suspected || m.State == member.Left {
 			continue
 		}
 		contacts := member.Contacts(balancers, m.Domain, m.Name)
-		if slices.ContainsFunc(contacts, func(c member.Since) bool { return c.Name == b.settings.Name }) {
+		if slices.ContainsFunc(contacts, func(c member.Observed) bool { return c.Name == b.settings.Name }) {
 			b.heard[m.Key] = &contact{heard: now}
 		}
 	}
--- a/internal/process/balancer/handle.go
+++ b/internal/process/balancer/handle.go
@@ -80,7 +80,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := &wire.Status{Self: b.self.Wire(), Version: b.book.Version(), Hints: uint64(b.hints.Len())}
-	s.Members = wireMembers(b.table.All(func(*member.Member) bool { return true }))
+	s.Members = wireMembers(b.table.Filter(func(*member.Member) bool { return true }))
 	for k, c := range b.heard {
 		m, ok := b.table.Get(k)
 		if !ok {
--- a/internal/process/balancer/news.go
+++ b/internal/process/balancer/news.go
@@ -131,17 +131,17 @@
 // neighbours returns the balancers that this one exchanges news with: by rank
 // some of its own domain and of others, and the next one by name in its
 // domain, so that every balancer is somebody's neighbour.
-func (b *Balancer) neighbours() []member.Since {
+func (b *Balancer) neighbours() []member.Observed {
 	b.mu.Lock()
-	others := slices.DeleteFunc(b.table.Balancers(), func(m member.Since) bool {
+	others := slices.DeleteFunc(b.table.Balancers(), func(m member.Observed) bool {
 		return m.Name == b.settings.Name || !m.Live()
 	})
 	b.mu.Unlock()
 	return neighbours(others, b.settings.Domain, b.settings.Name)
 }
 
-func neighbours(others []member.Since, domain, name string) []member.Since {
-	var near, far []member.Since
+func neighbours(others []member.Observed, domain, name string) []member.Observed {
+	var near, far []member.Observed
 	for _, m := range member.Ranked(others, name) {
 		if m.Domain == domain && len(near) < neighboursNear {
 			near = append(near, m)
@@ -156,13 +156,13 @@
 	return append(near, far...)
 }
 
-func sameAs(m member.Since) func(member.Since) bool {
-	return func(o member.Since) bool { return o.Key == m.Key }
+func sameAs(m member.Observed) func(member.Observed) bool {
+	return func(o member.Observed) bool { return o.Key == m.Key }
 }
 
 // successor returns the next balancer by name in a domain, around the end.
-func successor(others []member.Since, domain, name string) (member.Since, bool) {
-	var first, next *member.Since
+func successor(others []member.Observed, domain, name string) (member.Observed, bool) {
+	var first, next *member.Observed
 	for i := range others {
 		m := &others[i]
 		if m.Domain != domain {
@@ -179,7 +179,7 @@
 		next = first
 	}
 	if next == nil {
-		return member.Since{}, false
+		return member.Observed{}, false
 	}
 	return *next, true
 }
--- a/internal/process/balancer/relay.go
+++ b/internal/process/balancer/relay.go
@@ -29,7 +29,7 @@
 func (b *Balancer) relay(ctx context.Context) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	wanted := b.self.State == member.Alive && member.Relays(b.table.Balancers(), &b.self)
+	wanted := b.self.State == member.Alive && member.IsRelay(b.table.Balancers(), &b.self)
 	if wanted == (b.watch != nil) {
 		return
 	}
--- a/internal/process/balancer/sync.go
+++ b/internal/process/balancer/sync.go
@@ -63,7 +63,7 @@
 // exchange swaps the members of the buckets that differ.
 func (b *Balancer) exchange(ctx context.Context, peer netip.AddrPort, digests []uint64) error {
 	b.mu.Lock()
-	buckets := b.table.Differ(digests)
+	buckets := b.table.DifferingBuckets(digests)
 	request := &wire.Exchange{Buckets: buckets, Hashes: b.table.Hashes(buckets)}
 	b.mu.Unlock()
 	if len(buckets) == 0 {
@@ -78,7 +78,7 @@
 		return nil
 	}
 	b.mu.Lock()
-	wanted := &wire.Push{From: b.settings.Name, Members: wireMembers(b.table.Hashed(reply.Wanted))}
+	wanted := &wire.Push{From: b.settings.Name, Members: wireMembers(b.table.ByHash(reply.Wanted))}
 	b.mu.Unlock()
 	return b.call(ctx, peer, control.Push, wanted, &wire.Empty{})
 }
@@ -91,7 +91,7 @@
 	return &wire.Exchanged{Members: wireMembers(lacking), Wanted: missing}
 }
 
-func wireMembers(all []member.Since) []*wire.Member {
+func wireMembers(all []member.Observed) []*wire.Member {
 	var out []*wire.Member
 	for i := range all {
 		out = append(out, all[i].Wire())
@@ -108,7 +108,7 @@
 		b.fillConfiguration(reply, r.Version)
 	}
 	if r.Digest != reply.Digest {
-		reply.Buckets = b.table.Digests()
+		reply.Buckets = b.table.BucketDigests()
 	}
 	return reply
 }
--- a/internal/process/balancer/tick.go
+++ b/internal/process/balancer/tick.go
@@ -98,7 +98,7 @@
 // suspect each other, and nobody would otherwise notice that it is over.
 func (b *Balancer) heal(ctx context.Context) {
 	b.mu.Lock()
-	suspected := b.table.All(func(m *member.Member) bool {
+	suspected := b.table.Filter(func(m *member.Member) bool {
 		return m.Kind == member.Balancer && m.Suspected && m.Name != b.settings.Name
 	})
 	b.mu.Unlock()
--- a/internal/process/balancer/tunnel.go
+++ b/internal/process/balancer/tunnel.go
@@ -161,7 +161,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []netip.AddrPort
-	for _, m := range b.table.All(func(m *member.Member) bool { return m.Kind == member.Target }) {
+	for _, m := range b.table.Filter(func(m *member.Member) bool { return m.Kind == member.Target }) {
 		all = append(all, m.Tunnel())
 	}
 	return all
--- a/internal/process/balancer/view.go
+++ b/internal/process/balancer/view.go
@@ -57,7 +57,7 @@
 // beats be found.
 func (b *Balancer) makeSet(state *config.State, e config.Entry) *target.Set {
 	var all []target.Candidate
-	for _, m := range b.table.Service(e.Name) {
+	for _, m := range b.table.Targets(e.Name) {
 		b.byBeat[beaten{service: e.Number, target: target.IDOf(m.Name)}] = m.Key
 		if c, ok := candidate(state, &m.Member); ok {
 			all = append(all, c)
--- a/internal/process/member/member.go
+++ b/internal/process/member/member.go
@@ -1,26 +1,27 @@
-// Package member decides what a process believes about the other processes.
+// Package member implements the membership table of a process: its view of the
+// other processes.
 //
-// # The model
+// # Overview
 //
 // A record describes one process: a balancer, or a target with its agent. Only
 // the process itself writes its record, with an incarnation that grows with
-// each start and a sequence that grows with each change. Anybody may add a
-// suspicion to the record as it stands; the process answers with a higher
-// sequence. So two copies of records can be merged in any order, any number of
-// times, and all processes end with the same ones.
+// each start and a sequence that grows with each change. Any process may add a
+// suspicion to the current record; the suspected process refutes it with a
+// higher sequence. Therefore copies of records can be merged in any order, any
+// number of times, and all processes converge to the same records.
 //
 // For example, target q3 is {incarnation 4, sequence 9}. Its contact misses
-// heartbeats and spreads {4, 9, suspected}. q3 was only slow: it hears of the
-// suspicion and announces {4, 10}, which beats the suspicion everywhere, also
-// where the suspicion arrives later.
+// heartbeats and disseminates {4, 9, suspected}. q3 was only slow: it learns of
+// the suspicion and announces {4, 10}, which overrides the suspicion everywhere,
+// even where the suspicion arrives later.
 //
-// A suspected process is never removed for that. It leaves the table when it
-// said itself that it has nothing left, or when the retention has passed.
+// A suspicion does not remove a record at once. A record is removed when its
+// process has been suspected, leaving or left for longer than the retention.
 //
 // # Usage
 //
 //	t := member.NewTable()
-//	if t.Merge(now, record) { ... } // news: tell others
+//	if t.Merge(now, record) { ... } // changed: send it to others
 //	digest := t.Digest()
 //
 // A Table is not safe for concurrent use.
@@ -39,8 +40,8 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// ErrMember is returned for a record that no process writes.
-var ErrMember = errs.New("member: malformed record")
+// ErrMalformed is returned for a record that no process writes.
+var ErrMalformed = errs.New("member: malformed record")
 
 // Kind is the role of a process.
 type Kind string
@@ -51,24 +52,25 @@
 	Target   Kind = "target"
 )
 
-// State is what a process says of itself.
+// State is the state that a process announces.
 type State string
 
-// States. Leaving and left are final for an incarnation.
+// States. An incarnation that is leaving or has left does not return to another
+// state.
 const (
-	// Joining targets are not known to everybody yet and open no flows.
+	// Joining targets are not known to all processes yet and open no flows.
 	Joining  State = "joining"
 	Alive    State = "alive"
 	Draining State = "draining"
-	// Leaving processes stop soon. A leaving target keeps its flows for
-	// its successor.
+	// Leaving processes are stopping. A leaving target hands its flows over
+	// to its successor.
 	Leaving State = "leaving"
 	// Left processes have no flows.
 	Left State = "left"
 )
 
-// order ranks the states that end an incarnation.
-func (s State) order() int {
+// terminalRank ranks the states that end an incarnation above the others.
+func (s State) terminalRank() int {
 	switch s {
 	case Left:
 		return 2
@@ -79,7 +81,7 @@
 	}
 }
 
-// Key identifies a process over its incarnations.
+// Key identifies a process across its incarnations.
 type Key struct {
 	Kind    Kind
 	Service string
@@ -91,7 +93,7 @@
 	Key
 	Domain  string
 	Control netip.AddrPort
-	// Tunnels are the sockets for envelopes, the main one first.
+	// Tunnels are the addresses that receive envelopes, the main one first.
 	Tunnels     []netip.AddrPort
 	Upstream    netip.AddrPort
 	Incarnation uint32
@@ -105,8 +107,8 @@
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
-	if a.State.order() != b.State.order() {
-		return a.State.order() > b.State.order()
+	if a.State.terminalRank() != b.State.terminalRank() {
+		return a.State.terminalRank() > b.State.terminalRank()
 	}
 	if a.Sequence != b.Sequence {
 		return a.Sequence > b.Sequence
@@ -114,12 +116,12 @@
 	return a.Suspected && !b.Suspected
 }
 
-// Equal reports that two records say the same.
+// Equal reports whether two records have the same content.
 func (m *Member) Equal(o *Member) bool {
 	return m.hash() == o.hash()
 }
 
-// Tunnel returns the main socket for envelopes.
+// Tunnel returns the main address for envelopes, or the zero value.
 func (m *Member) Tunnel() netip.AddrPort {
 	if len(m.Tunnels) == 0 {
 		return netip.AddrPort{}
@@ -127,16 +129,17 @@
 	return m.Tunnels[0]
 }
 
-// Live reports that the process may be given work.
+// Live reports whether the process may be given work: it is not suspected,
+// leaving or left.
 func (m *Member) Live() bool {
-	return !m.Suspected && m.State.order() == 0
+	return !m.Suspected && m.State.terminalRank() == 0
 }
 
-// Wire returns the record as it travels.
+// Wire returns the record as a wire message.
 func (m *Member) Wire() *wire.Member {
 	w := &wire.Member{
 		Kind: string(m.Kind), Name: m.Name, Service: m.Service, Domain: m.Domain,
-		Control: text(m.Control), Upstream: text(m.Upstream),
+		Control: formatAddress(m.Control), Upstream: formatAddress(m.Upstream),
 		Incarnation: m.Incarnation, Sequence: m.Sequence, State: string(m.State), Suspected: m.Suspected,
 	}
 	for _, t := range m.Tunnels {
@@ -145,34 +148,34 @@
 	return w
 }
 
-func text(a netip.AddrPort) string {
+func formatAddress(a netip.AddrPort) string {
 	if !a.IsValid() {
 		return ""
 	}
 	return a.String()
 }
 
-// FromWire checks a record that arrived.
+// FromWire validates and converts a record from a wire message.
 func FromWire(w *wire.Member) (Member, error) {
 	m := Member{
 		Key:    Key{Kind: Kind(w.GetKind()), Service: w.GetService(), Name: w.GetName()},
 		Domain: w.GetDomain(), Incarnation: w.GetIncarnation(), Sequence: w.GetSequence(),
 		State: State(w.GetState()), Suspected: w.GetSuspected(),
 	}
-	known := m.Kind == Balancer || m.Kind == Target && m.Service != ""
+	validKind := m.Kind == Balancer || m.Kind == Target && m.Service != ""
 	states := []State{Joining, Alive, Draining, Leaving, Left}
-	if !known || m.Name == "" || !slices.Contains(states, m.State) {
-		return Member{}, ErrMember
+	if !validKind || m.Name == "" || !slices.Contains(states, m.State) {
+		return Member{}, ErrMalformed
 	}
 	var err error
-	if m.Control, err = address(w.GetControl()); err != nil {
+	if m.Control, err = parseAddress(w.GetControl()); err != nil {
 		return Member{}, err
 	}
-	if m.Upstream, err = address(w.GetUpstream()); err != nil {
+	if m.Upstream, err = parseAddress(w.GetUpstream()); err != nil {
 		return Member{}, err
 	}
 	for _, t := range w.GetTunnels() {
-		a, err := address(t)
+		a, err := parseAddress(t)
 		if err != nil {
 			return Member{}, err
 		}
@@ -181,22 +184,22 @@
 	return m, nil
 }
 
-func address(s string) (netip.AddrPort, error) {
+func parseAddress(s string) (netip.AddrPort, error) {
 	if s == "" {
 		return netip.AddrPort{}, nil
 	}
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
-		return a, errs.Combine(ErrMember, err)
+		return a, errs.Combine(ErrMalformed, err)
 	}
 	return a, nil
 }
 
-// hash returns a digest of the record's content.
+// hash returns a hash of the record's content.
 func (m *Member) hash() uint64 {
 	data, err := json.Marshal(m.Wire())
 	if err != nil {
-		// The record has only strings, numbers and booleans.
+		// Unreachable: the record has only strings, numbers and booleans.
 		panic(err)
 	}
 	return xxh3.Hash(data)
@@ -206,9 +209,9 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Name, b.Name))
 }
 
-// Since is a record with the reading of this process's clock at which its
-// present content came.
-type Since struct {
+// Observed is a record with the time, on this process's clock, at which its
+// current content was merged.
+type Observed struct {
 	Member
-	At clock.Millis
+	UpdatedAt clock.Millis
 }
--- a/internal/process/member/rank.go
+++ b/internal/process/member/rank.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// contactsNear and contactsFar are how many balancers an agent
-	// announces itself to in its own failure domain and outside it. Two
-	// near ones outlive one death, the far one a cut of the domain.
-	contactsNear = 2
-	contactsFar  = 1
-	// relays is how many balancers of a domain watch the platform.
-	relays = 2
+	// localContacts and remoteContacts are the numbers of balancers that an
+	// agent announces itself to, inside and outside its failure domain. Two
+	// local ones tolerate the failure of one; the remote one tolerates a
+	// partition of the domain.
+	localContacts  = 2
+	remoteContacts = 1
+	// relaysPerDomain is the number of balancers of a domain that watch the
+	// platform.
+	relaysPerDomain = 2
 )
 
 // Ranked orders balancers by rendezvous hashing for a name.
-func Ranked(balancers []Since, name string) []Since {
+func Ranked(balancers []Observed, name string) []Observed {
 	seed := xxh3.HashString(name)
 	weights := make(map[string]uint64, len(balancers))
 	for i := range balancers {
 		weights[balancers[i].Name] = weight(&balancers[i].Member, seed)
 	}
 	sorted := slices.Clone(balancers)
-	slices.SortStableFunc(sorted, func(a, b Since) int {
+	slices.SortStableFunc(sorted, func(a, b Observed) int {
 		return cmp.Compare(weights[b.Name], weights[a.Name])
 	})
 	return sorted
@@ -35,63 +37,64 @@
 	return xxh3.HashStringSeed(m.Name, seed)
 }
 
-// Contacts returns the balancers that a target announces itself to: by rank
-// among the live ones, so that announcements spread evenly over them and few
-// move when one leaves.
+// Contacts returns the balancers that a target announces itself to: the highest
+// ranked live ones, so that announcements are spread evenly and few of them move
+// when a balancer leaves.
 //
-// A balancer works this out for every target now and then, so it takes one pass
-// over the balancers and no sorting.
-func Contacts(balancers []Since, domain, target string) []Since {
+// A balancer regularly computes this for every target, so it takes one pass over
+// the balancers and does not sort.
+func Contacts(balancers []Observed, domain, target string) []Observed {
 	seed := xxh3.HashString(target)
-	near := best{room: contactsNear}
-	far := best{room: contactsFar}
+	local := topWeights{capacity: localContacts}
+	remote := topWeights{capacity: remoteContacts}
 	for i := range balancers {
 		b := &balancers[i]
 		switch {
 		case !b.Live():
 		case b.Domain == domain:
-			near.offer(b, weight(&b.Member, seed))
+			local.add(b, weight(&b.Member, seed))
 		default:
-			far.offer(b, weight(&b.Member, seed))
+			remote.add(b, weight(&b.Member, seed))
 		}
 	}
-	return append(near.all(), far.all()...)
+	return append(local.list(), remote.list()...)
 }
 
-// best keeps the few balancers of the highest weights, in their order.
-type best struct {
-	room    int
-	kept    [contactsNear]*Since
-	weights [contactsNear]uint64
-	count   int
+// topWeights keeps the balancers with the highest weights, in descending order.
+type topWeights struct {
+	capacity int
+	members  [localContacts]*Observed
+	weights  [localContacts]uint64
+	count    int
 }
 
-func (b *best) offer(m *Since, weight uint64) {
-	at := b.count
-	for at > 0 && weight > b.weights[at-1] {
+func (t *topWeights) add(m *Observed, weight uint64) {
+	at := t.count
+	for at > 0 && weight > t.weights[at-1] {
 		at--
 	}
-	if at >= b.room {
+	if at >= t.capacity {
 		return
 	}
-	b.count = min(b.count+1, b.room)
-	copy(b.kept[at+1:b.count], b.kept[at:])
-	copy(b.weights[at+1:b.count], b.weights[at:])
-	b.kept[at], b.weights[at] = m, weight
+	t.count = min(t.count+1, t.capacity)
+	copy(t.members[at+1:t.count], t.members[at:])
+	copy(t.weights[at+1:t.count], t.weights[at:])
+	t.members[at], t.weights[at] = m, weight
 }
 
-func (b *best) all() []Since {
-	all := make([]Since, 0, b.count)
-	for _, m := range b.kept[:b.count] {
+func (t *topWeights) list() []Observed {
+	all := make([]Observed, 0, t.count)
+	for _, m := range t.members[:t.count] {
 		all = append(all, *m)
 	}
 	return all
 }
 
-// Relays reports whether a balancer is among the first live ones of its
-// domain, which watch the platform. Two views may name different relays; one
-// more watch is harmless, and the digest exchange covers for one less.
-func Relays(balancers []Since, self *Member) bool {
+// IsRelay reports whether a balancer is among the highest ranked live ones of its
+// domain, which watch the platform. Processes with different views may select
+// different relays: an additional watch is harmless, and the digest exchange
+// compensates for a missing one.
+func IsRelay(balancers []Observed, self *Member) bool {
 	before := 0
 	for _, b := range Ranked(balancers, "relay") {
 		if b.Name == self.Name {
@@ -100,7 +103,7 @@
 		if b.Domain == self.Domain && b.Live() {
 			before++
 		}
-		if before == relays {
+		if before == relaysPerDomain {
 			return false
 		}
 	}
--- a/internal/process/member/table.go
+++ b/internal/process/member/table.go
@@ -8,48 +8,49 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Buckets is the number of parts in which two tables are compared. At 3,790
+// Buckets is the number of buckets in which two tables are compared. With 3,790
 // records a bucket holds 60, so one difference costs a few kilobytes.
 const Buckets = 64
 
-// Table holds one process's beliefs. Its digests are kept up with each merge,
-// so comparing two tables that agree costs 8 bytes.
+// Table holds the records that a process knows. Its digests are updated with each
+// merge, so comparing two equal tables costs 8 bytes.
 type Table struct {
 	members map[Key]*entry
-	// services holds the same records by service, in the order of their
-	// keys; balancers have none. A service has two or three targets, for
-	// which a map would take ten times a slice's memory.
-	services  map[string][]*entry
-	digests   [Buckets]uint64
-	forgotten map[Key]Since
+	// byService holds the same records by service, sorted by key; balancers
+	// have the empty service. A service has two or three targets, for which a
+	// map would take ten times the memory of a slice.
+	byService  map[string][]*entry
+	digests    [Buckets]uint64
+	tombstones map[Key]Observed
 }
 
 type entry struct {
-	Since
+	Observed
 	hash uint64
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{members: map[Key]*entry{}, services: map[string][]*entry{}, forgotten: map[Key]Since{}}
+	return &Table{members: map[Key]*entry{}, byService: map[string][]*entry{}, tombstones: map[Key]Observed{}}
 }
 
-// Bucket returns the part of the table that a process belongs to.
+// Bucket returns the bucket of a process.
 func Bucket(k Key) int {
 	return int(xxh3.HashString(string(k.Kind)+"/"+k.Service+"/"+k.Name) % Buckets)
 }
 
-// Merge takes a record if it is newer than what is there, and reports that.
+// Merge stores a record if it is newer than the known one, and reports whether it
+// did.
 func (t *Table) Merge(now clock.Millis, m Member) bool {
 	old, ok := t.members[m.Key]
 	if ok && !Newer(&m, &old.Member) {
 		return false
 	}
-	if f, ok := t.forgotten[m.Key]; ok && !Newer(&m, &f.Member) {
+	if tombstone, ok := t.tombstones[m.Key]; ok && !Newer(&m, &tombstone.Member) {
 		return false
 	}
-	delete(t.forgotten, m.Key)
-	t.put(&entry{Since: Since{Member: m, At: now}, hash: m.hash()})
+	delete(t.tombstones, m.Key)
+	t.put(&entry{Observed: Observed{Member: m, UpdatedAt: now}, hash: m.hash()})
 	return true
 }
 
@@ -60,33 +61,33 @@
 	}
 	t.members[e.Key] = e
 	t.digests[b] ^= e.hash
-	of := t.services[e.Service]
-	if i, ok := find(of, e.Key); ok {
-		of[i] = e
+	entries := t.byService[e.Service]
+	if i, ok := findEntry(entries, e.Key); ok {
+		entries[i] = e
 	} else {
-		t.services[e.Service] = slices.Insert(of, i, e)
+		t.byService[e.Service] = slices.Insert(entries, i, e)
 	}
 }
 
-func find(of []*entry, k Key) (int, bool) {
-	return slices.BinarySearchFunc(of, k, func(e *entry, k Key) int { return compareKeys(e.Key, k) })
+func findEntry(entries []*entry, k Key) (int, bool) {
+	return slices.BinarySearchFunc(entries, k, func(e *entry, k Key) int { return compareKeys(e.Key, k) })
 }
 
-// drop takes a record out of those of its service.
-func (t *Table) drop(k Key) {
-	of := t.services[k.Service]
-	if i, ok := find(of, k); ok {
-		of = slices.Delete(of, i, i+1)
+// removeFromService removes a record from byService.
+func (t *Table) removeFromService(k Key) {
+	entries := t.byService[k.Service]
+	if i, ok := findEntry(entries, k); ok {
+		entries = slices.Delete(entries, i, i+1)
 	}
-	if len(of) == 0 {
-		delete(t.services, k.Service)
+	if len(entries) == 0 {
+		delete(t.byService, k.Service)
 		return
 	}
-	t.services[k.Service] = of
+	t.byService[k.Service] = entries
 }
 
-// Suspect adds a suspicion to a process's record as it stands. It returns the
-// record to spread.
+// Suspect adds a suspicion to a process's current record. It returns the record
+// to disseminate.
 func (t *Table) Suspect(now clock.Millis, k Key) (Member, bool) {
 	e, ok := t.members[k]
 	if !ok || e.Suspected || e.State == Left {
@@ -97,40 +98,40 @@
 	return m, t.Merge(now, m)
 }
 
-// Expire forgets what has been suspected or gone for longer than the
-// retention.
+// Expire removes and returns the records of processes that have been suspected, leaving or
+// left for longer than the retention.
 //
-// Two tables forget a record at slightly different times and would get it back from each
-// other for ever. So a table refuses for another retention what it has forgotten, unless
-// the process itself has written since.
+// Two tables remove a record at slightly different times and would restore it from each
+// other forever. Therefore a removed record leaves a tombstone for another retention, during
+// which only a newer record of the process is accepted.
 func (t *Table) Expire(now, retain clock.Millis) []Member {
-	var gone []Member
+	var removed []Member
 	for k, e := range t.members {
-		ended := e.Suspected || e.State.order() > 0
-		if !ended || now.Sub(e.At) <= retain {
+		ended := e.Suspected || e.State.terminalRank() > 0
+		if !ended || now.Sub(e.UpdatedAt) <= retain {
 			continue
 		}
 		t.digests[Bucket(k)] ^= e.hash
 		delete(t.members, k)
-		t.drop(k)
-		t.forgotten[k] = Since{Member: e.Member, At: now}
-		gone = append(gone, e.Member)
+		t.removeFromService(k)
+		t.tombstones[k] = Observed{Member: e.Member, UpdatedAt: now}
+		removed = append(removed, e.Member)
 	}
-	for k, f := range t.forgotten {
-		if now.Sub(f.At) > retain {
-			delete(t.forgotten, k)
+	for k, tombstone := range t.tombstones {
+		if now.Sub(tombstone.UpdatedAt) > retain {
+			delete(t.tombstones, k)
 		}
 	}
-	return gone
+	return removed
 }
 
 // Get returns one record.
-func (t *Table) Get(k Key) (Since, bool) {
+func (t *Table) Get(k Key) (Observed, bool) {
 	e, ok := t.members[k]
 	if !ok {
-		return Since{}, false
+		return Observed{}, false
 	}
-	return e.Since, true
+	return e.Observed, true
 }
 
 // Len returns the number of records.
@@ -138,37 +139,37 @@
 	return len(t.members)
 }
 
-// All returns the records that a test accepts, in the order of their keys.
-func (t *Table) All(accept func(*Member) bool) []Since {
-	var all []Since
+// Filter returns the records that accept returns true for, sorted by key.
+func (t *Table) Filter(accept func(*Member) bool) []Observed {
+	var all []Observed
 	for _, e := range t.members {
 		if accept(&e.Member) {
-			all = append(all, e.Since)
+			all = append(all, e.Observed)
 		}
 	}
-	slices.SortFunc(all, func(a, b Since) int { return compareKeys(a.Key, b.Key) })
+	slices.SortFunc(all, func(a, b Observed) int { return compareKeys(a.Key, b.Key) })
 	return all
 }
 
-// Service returns the targets of a service, in the order of their names.
-func (t *Table) Service(name string) []Since {
-	return records(t.services[name])
+// Targets returns the targets of a service, sorted by name.
+func (t *Table) Targets(name string) []Observed {
+	return observedRecords(t.byService[name])
 }
 
-// Balancers returns the balancers, in the order of their names.
-func (t *Table) Balancers() []Since {
-	return records(t.services[""])
+// Balancers returns the balancers, sorted by name.
+func (t *Table) Balancers() []Observed {
+	return observedRecords(t.byService[""])
 }
 
-func records(entries []*entry) []Since {
-	all := make([]Since, 0, len(entries))
+func observedRecords(entries []*entry) []Observed {
+	all := make([]Observed, 0, len(entries))
 	for _, e := range entries {
-		all = append(all, e.Since)
+		all = append(all, e.Observed)
 	}
 	return all
 }
 
-// Hashes returns a hash of each record of some buckets.
+// Hashes returns the sorted hashes of the records in some buckets.
 func (t *Table) Hashes(buckets []uint32) []uint64 {
 	var all []uint64
 	for k, e := range t.members {
@@ -180,20 +181,21 @@
 	return all
 }
 
-// Compare takes another table's hashes of some buckets. It returns the records
-// that the other lacks, and the hashes of those that are missing here.
-func (t *Table) Compare(buckets []uint32, hashes []uint64) ([]Since, []uint64) {
+// Compare compares the records in some buckets with another table's hashes. It
+// returns the records that the other table lacks, and the hashes of those that
+// this table lacks.
+func (t *Table) Compare(buckets []uint32, hashes []uint64) ([]Observed, []uint64) {
 	theirs := make(map[uint64]bool, len(hashes))
 	for _, h := range hashes {
 		theirs[h] = true
 	}
-	var lacking []Since
+	var lacking []Observed
 	for k, e := range t.members {
 		if !slices.Contains(buckets, uint32(Bucket(k))) {
 			continue
 		}
 		if !theirs[e.hash] {
-			lacking = append(lacking, e.Since)
+			lacking = append(lacking, e.Observed)
 		}
 		delete(theirs, e.hash)
 	}
@@ -202,26 +204,26 @@
 		missing = append(missing, h)
 	}
 	slices.Sort(missing)
-	slices.SortFunc(lacking, func(a, b Since) int { return compareKeys(a.Key, b.Key) })
+	slices.SortFunc(lacking, func(a, b Observed) int { return compareKeys(a.Key, b.Key) })
 	return lacking, missing
 }
 
-// Hashed returns the records with these hashes.
-func (t *Table) Hashed(hashes []uint64) []Since {
+// ByHash returns the records with these hashes.
+func (t *Table) ByHash(hashes []uint64) []Observed {
 	wanted := make(map[uint64]bool, len(hashes))
 	for _, h := range hashes {
 		wanted[h] = true
 	}
-	var all []Since
+	var all []Observed
 	for _, e := range t.members {
 		if wanted[e.hash] {
-			all = append(all, e.Since)
+			all = append(all, e.Observed)
 		}
 	}
 	return all
 }
 
-// Digest returns one number for the whole table.
+// Digest returns a digest of the whole table.
 func (t *Table) Digest() uint64 {
 	var d uint64
 	for i, b := range t.digests {
@@ -230,18 +232,18 @@
 	return d
 }
 
-// mix keeps equal digests of two buckets from cancelling each other.
+// mix keeps equal digests of two buckets from canceling each other out.
 func mix(digest uint64, bucket int) uint64 {
 	return (digest + uint64(bucket)) * 0x9e3779b97f4a7c15
 }
 
-// Digests returns a number for each bucket.
-func (t *Table) Digests() []uint64 {
+// BucketDigests returns the digest of each bucket.
+func (t *Table) BucketDigests() []uint64 {
 	return slices.Clone(t.digests[:])
 }
 
-// Differ returns the buckets in which another table's digests differ.
-func (t *Table) Differ(other []uint64) []uint32 {
+// DifferingBuckets returns the buckets whose digests differ from another table's.
+func (t *Table) DifferingBuckets(other []uint64) []uint32 {
 	var buckets []uint32
 	for i := range t.digests {
 		if i >= len(other) || other[i] != t.digests[i] {
--- a/internal/process/member/table_test.go
+++ b/internal/process/member/table_test.go
@@ -21,29 +21,29 @@
 	}
 }
 
-// Records reach two processes in different orders, some of them twice. Both
-// end with the same table, and their digests say so.
-func TestMergeInAnyOrder(t *testing.T) {
+// Two processes receive the same records in different orders, some of them twice.
+// They must end with the same table and equal digests.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	properties.Property("same end", prop.ForAll(func(news []int) bool {
+	properties.Property("same end", prop.ForAll(func(updates []int) bool {
 		one, two := member.NewTable(), member.NewTable()
-		for i := range news {
-			one.Merge(0, record(news[i]))
-			two.Merge(0, record(news[len(news)-1-i]))
-			two.Merge(0, record(news[i/2]))
+		for i := range updates {
+			one.Merge(0, record(updates[i]))
+			two.Merge(0, record(updates[len(updates)-1-i]))
+			two.Merge(0, record(updates[i/2]))
 		}
-		// Alive and draining records of one sequence do not occur: only the
-		// process itself writes them.
+		// Alive and draining records with the same sequence do not occur in
+		// practice: only the process itself writes them.
 		same := one.Digest() == two.Digest()
-		return same == (len(one.Differ(two.Digests())) == 0) && (same || ambiguous(news))
+		return same == (len(one.DifferingBuckets(two.BucketDigests())) == 0) && (same || ambiguous(updates))
 	}, gen.SliceOf(gen.IntRange(0, 215))))
 	properties.TestingRun(t)
 }
 
-// ambiguous reports two records that differ only in alive against draining.
-func ambiguous(news []int) bool {
+// ambiguous reports whether two records differ only in alive against draining.
+func ambiguous(updates []int) bool {
 	seen := map[string]member.State{}
-	for _, n := range news {
+	for _, n := range updates {
 		m := record(n)
 		if m.State != member.Alive && m.State != member.Draining {
 			continue
@@ -57,9 +57,9 @@
 	return false
 }
 
-// A process is suspected falsely and answers with a higher sequence. The answer
-// beats the suspicion, also where the suspicion arrives after it.
-func TestRefutation(t *testing.T) {
+// A falsely suspected process refutes the suspicion with a higher sequence. Its
+// record must override the suspicion even where the suspicion arrives later.
+func TestSuspicionIsRefuted(t *testing.T) {
 	table := member.NewTable()
 	m := record(0)
 	m.Sequence = 9
@@ -72,32 +72,32 @@
 	table.Merge(0, m)
 	table.Merge(0, suspicion)
 	if got, _ := table.Get(m.Key); got.Suspected {
-		t.Error("the suspicion came back")
+		t.Error("the refuted suspicion was merged")
 	}
 }
 
-// Two tables forget a dead process at different times and compare themselves
-// in between. Neither brings the record back to the other for ever.
+// Two tables remove a dead process at different times and exchange records in
+// between. They must not restore the record from each other forever.
 func TestForgottenStaysForgotten(t *testing.T) {
 	dead := record(108)
 	one, two := member.NewTable(), member.NewTable()
 	one.Merge(0, dead)
 	two.Merge(30*clock.Second, dead)
 	one.Expire(61*clock.Second, clock.Minute)
-	buckets := one.Differ(two.Digests())
+	buckets := one.DifferingBuckets(two.BucketDigests())
 	lacking, _ := two.Compare(buckets, one.Hashes(buckets))
 	if len(lacking) != 1 {
-		t.Fatalf("%d records are brought back", len(lacking))
+		t.Fatalf("%d records differ, want 1", len(lacking))
 	}
 	for _, m := range lacking {
 		one.Merge(62*clock.Second, m.Member)
 	}
 	two.Expire(91*clock.Second, clock.Minute)
 	if one.Len()+two.Len() != 0 {
-		t.Errorf("%d and %d records are left", one.Len(), two.Len())
+		t.Errorf("%d and %d records remain", one.Len(), two.Len())
 	}
 	dead.Incarnation++
 	if !one.Merge(92*clock.Second, dead) {
-		t.Error("a successor is refused")
+		t.Error("the record of a successor was not merged")
 	}
 }
