--- a/internal/process/agent/tunnel.go
+++ b/internal/process/agent/tunnel.go
@@ -113,8 +113,8 @@
 	arrival := owner.Arrival{Now: now, Envelope: e, Via: via, Random: rand.Float64()}
 	var local owner.Own
 	if e.Stage != wire.Stage_STAGE_OWNED {
-		// The load is needed only to place or adopt a flow; reading it
-		// takes a lock that all workers share.
+		// The local state is needed only to place or adopt a flow; getting
+		// it takes a lock that all workers share.
 		local = a.localState()
 	}
 	d := a.table.Take(arrival, view, local, a.pool)
