--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -8,12 +8,12 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-func (w *world) startAgent(a *worldAgent) {
+func (w *simulation) startAgent(a *simAgent) {
 	a.epoch++
 	a.up = true
 	a.holder = NewHolder(w.now, HolderSettings{
-		Name: a.address.String(), Domain: a.domain, Service: a.service, Epoch: a.epoch, Port: worldPort,
-		Flows: 1000, FlowLife: worldLife, Heartbeat: worldBeat, SilentAfter: 3 * worldBeat,
+		Name: a.address.String(), Domain: a.domain, Service: a.service, Epoch: a.epoch, Port: simPort,
+		Flows: 1000, FlowLife: testFlowTTL, Heartbeat: simHeartbeat, SilentAfter: 3 * simHeartbeat,
 		Checkpoint: true,
 	})
 	h := a.holder
@@ -31,9 +31,9 @@
 			h.Checked(w.now, found)
 		}
 		w.flushAgent(a)
-		w.after(50, tick)
+		w.schedule(50, tick)
 	}
-	w.after(1, tick)
+	w.schedule(1, tick)
 	w.restores(a)
 	var tell func()
 	tell = func() {
@@ -46,12 +46,12 @@
 		}
 		h.Tell(w.now, all)
 		w.flushAgent(a)
-		w.after(500, tell)
+		w.schedule(500, tell)
 	}
-	w.after(2, tell)
+	w.schedule(2, tell)
 }
 
-func (w *world) flushAgent(a *worldAgent) {
+func (w *simulation) flushAgent(a *simAgent) {
 	if a.holder.Turned(w.now) {
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
@@ -60,17 +60,17 @@
 		a.holder.Tell(w.now, all)
 	}
 	out := a.holder.Take()
-	w.note(a.address, out.Events)
+	w.traceEvents(a.address, out.Events)
 	for _, d := range out.Deliveries {
 		packet := mark(d.Packet, d.Echo, false)
-		w.after(0, func() { w.targetTakes(a, packet) })
+		w.schedule(0, func() { w.targetTakes(a, packet) })
 	}
 	for _, packet := range out.Answers {
 		s := decode(packet)
-		w.network(a.address, s.Destination, func() { w.callerHears(a, s) })
+		w.transmit(a.address, s.Destination, func() { w.callerReceives(a, s) })
 	}
 	for _, r := range out.Resets {
-		w.callerReset(r.Flow, anAgent)
+		w.resetCaller(r.Flow, byAgent)
 	}
 	for _, s := range out.Sends {
 		p := copyParcel(s.Parcel)
@@ -81,7 +81,7 @@
 			if b.address != s.To {
 				continue
 			}
-			w.network(a.address, b.address, func() {
+			w.transmit(a.address, b.address, func() {
 				if !b.up {
 					return
 				}
@@ -89,15 +89,15 @@
 					w.hearKeep(b, a.address, p.Checkpoint)
 					return
 				}
-				b.steerer.Hear(w.now, a.address, p, carried(p))
+				b.steerer.HandleParcel(w.now, a.address, p, packetSegment(p))
 				w.flushBalancer(b)
 			})
 		}
 	}
 }
 
-func (w *world) startTarget(a *worldAgent) {
-	t := &worldTarget{born: uint64(w.now), alive: true, flows: map[segment.Flow]*worldEnd{}}
+func (w *simulation) startTarget(a *simAgent) {
+	t := &simTarget{born: uint64(w.now), alive: true, flows: map[segment.Flow]*simEndpoint{}}
 	a.target = t
 	var beat func()
 	beat = func() {
@@ -110,20 +110,20 @@
 				Service: a.service, Born: t.born, Sequence: t.sequence, Age: w.now - clock.Millis(t.born),
 				Draining: t.draining, Slots: 4,
 			})
-			if t.draining && t.acked == 0 {
-				t.acked = w.now
+			if t.draining && t.drainAckedAt == 0 {
+				t.drainAckedAt = w.now
 			}
 			w.flushAgent(a)
-			w.after(worldBeat, beat)
+			w.schedule(simHeartbeat, beat)
 			return
 		}
-		w.after(100, beat)
+		w.schedule(100, beat)
 	}
-	w.after(clock.Millis(1+w.random.IntN(100)), beat)
+	w.schedule(clock.Millis(1+w.random.IntN(100)), beat)
 }
 
 // targetTakes is the target's end of the protocol.
-func (w *world) targetTakes(a *worldAgent, packet []byte) {
+func (w *simulation) targetTakes(a *simAgent, packet []byte) {
 	t := a.target
 	if t == nil || !t.alive {
 		return
@@ -132,17 +132,17 @@
 	id := s.FromCaller()
 	end := t.flows[id]
 	if s.Opening() {
-		if at, ok := w.evacuated[a.domain]; end == nil && ok && w.now.Sub(at) > worldOrdered {
+		if at, ok := w.evacuated[a.domain]; end == nil && ok && w.now.Sub(at) > simEvacuationGrace {
 			w.fail("target %v was opened %d ms after the evacuation of %s", a.address, w.now.Sub(at), a.domain)
 		}
-		if end == nil && t.acked != 0 && w.now > t.acked {
+		if end == nil && t.drainAckedAt != 0 && w.now > t.drainAckedAt {
 			w.fail("opening of %s at %s after it was acknowledged to drain", id, a.address)
 		}
 		if !w.allowed[a.service] {
 			w.fail("opening of %s at service %s", id, a.service)
 		}
 		if end == nil {
-			end = &worldEnd{seq: w.random.Uint32()}
+			end = &simEndpoint{seq: w.random.Uint32()}
 			t.flows[id] = end
 		}
 		w.targetSends(a, segment.Segment{
@@ -151,20 +151,20 @@
 		return
 	}
 	if end == nil || s.Ack != end.seq+1 {
-		w.after(0, func() { w.agentTakes(a, mark(packet, s.Echo, true)) })
+		w.schedule(0, func() { w.agentTakes(a, mark(packet, s.Echo, true)) })
 		return
 	}
 	if !end.open {
 		end.open = true
 		for _, c := range w.callers {
-			if c.flow == id && c.openedAt == nil {
-				c.openedAt, c.owner = t, a
+			if c.flow == id && c.target == nil {
+				c.target, c.agent = t, a
 			}
 		}
 	}
 	switch {
-	case s.Size == 0 || w.now < t.faulty && t.mute:
-	case w.now < t.faulty:
+	case s.Size == 0 || w.now < t.failsUntil && t.unresponsive:
+	case w.now < t.failsUntil:
 		delete(t.flows, id)
 		w.targetSends(a, segment.Segment{
 			Source: id.Listener, Destination: id.Caller, Flags: segment.Resets | segment.Acks, Seq: end.seq + 1,
@@ -176,12 +176,12 @@
 	}
 }
 
-func (w *world) targetSends(a *worldAgent, s segment.Segment) {
+func (w *simulation) targetSends(a *simAgent, s segment.Segment) {
 	packet := encode(s)
-	w.after(0, func() { w.agentTakes(a, packet) })
+	w.schedule(0, func() { w.agentTakes(a, packet) })
 }
 
-func (w *world) agentTakes(a *worldAgent, packet []byte) {
+func (w *simulation) agentTakes(a *simAgent, packet []byte) {
 	if a.up {
 		a.holder.FromTarget(w.now, decode(packet), packet)
 		w.flushAgent(a)
--- a/internal/connection/stream/bench_test.go
+++ b/internal/connection/stream/bench_test.go
@@ -11,13 +11,13 @@
 )
 
 // crowded returns a balancer that knows targets in three failure domains, with flows.
-func crowded(b *testing.B, targets int) *Steerer {
+func newLoadedSteerer(b *testing.B, targets int) *Steerer {
 	b.Helper()
-	s := NewSteerer(testNow-clock.Minute, Settings{Domain: "a", Flows: 10_000, FlowLife: worldLife})
+	s := NewSteerer(testNow-clock.Minute, Settings{Domain: "a", MaxFlows: 10_000, FlowTTL: testFlowTTL})
 	for i := range targets {
 		r := ready(1, 1)
 		r.Domain, r.Slots, r.Flows, r.Busy, r.Serving = string(rune('a'+i%3)), 2, uint32(20+i%7), uint32(50+i%40), 25
-		s.Hear(testNow, worldAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		s.HandleParcel(testNow, testAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	s.Targets.SetSharers(6)
 	return s
@@ -28,14 +28,14 @@
 func BenchmarkOpening(b *testing.B) {
 	for _, targets := range []int{10, 44, 204, 1000} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
-			s := crowded(b, targets)
-			s.SetTable(testNow, oneListener(b))
+			s := newLoadedSteerer(b, targets)
+			s.SetTable(testNow, newTestTable(b))
 			b.ReportAllocs()
 			for i := range b.N {
 				id := callerFlow(i % 9000)
 				packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
 				s.flows.Remove(id)
-				s.Arrive(testNow, decode(packet), packet)
+				s.HandlePacket(testNow, decode(packet), packet)
 				s.Take()
 			}
 		})
@@ -43,37 +43,37 @@
 }
 
 // BenchmarkCarry is the balancer's part of a packet whose flow it knows.
-func BenchmarkCarry(b *testing.B) {
-	s := crowded(b, 44)
+func BenchmarkForward(b *testing.B) {
+	s := newLoadedSteerer(b, 44)
 	id := callerFlow(1)
-	s.flows.Add(id, &flow{owner: takenBy(worldAddress(2, 0)), service: "one", last: testNow})
+	s.flows.Add(id, &flow{owner: confirmedBy(testAddress(2, 0)), service: "one", lastSeen: testNow})
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Ack: 9, Size: 100})
 	seg := decode(packet)
 	b.ReportAllocs()
 	for range b.N {
-		s.Arrive(testNow, seg, packet)
+		s.HandlePacket(testNow, seg, packet)
 		s.Take()
 	}
 }
 
 // BenchmarkWaiting is a tick of a balancer whose openings wait for targets that have just
 // started and have no room.
-func BenchmarkWaiting(b *testing.B) {
-	s := crowded(b, 204)
-	table := oneListener(b)
+func BenchmarkQueuedOpenings(b *testing.B) {
+	s := newLoadedSteerer(b, 204)
+	table := newTestTable(b)
 	table.Services = []routing.Service{{Name: "one", Warming: 1}}
 	if err := table.Check(); err != nil {
 		b.Fatal(err)
 	}
 	s.SetTable(testNow, table)
 	s.Targets.Each(func(t *Target) { t.ColdUntil, t.room = testNow+clock.Hour, 1 })
-	for i := range mostWaiting {
-		opens(s, testNow, i)
+	for i := range maxQueued {
+		sendOpening(s, testNow, i)
 	}
 	for range b.N {
-		s.retry(testNow)
+		s.retryQueued(testNow)
 	}
-	if len(s.waiting) != mostWaiting {
-		b.Errorf("%d openings wait", len(s.waiting))
+	if len(s.queued) != maxQueued {
+		b.Errorf("%d openings wait", len(s.queued))
 	}
 }
--- a/internal/connection/stream/caller_test.go
+++ b/internal/connection/stream/caller_test.go
@@ -7,31 +7,31 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-func (w *world) callerOpens(c *worldCaller) {
+func (w *simulation) openFlow(c *simCaller) {
 	c.port++
-	c.flow = segment.Flow{Caller: netip.AddrPortFrom(c.ip, c.port), Listener: worldListener}
-	c.openedAt, c.owner, c.seq, c.waiting, c.copies = nil, nil, 0, false, 0
-	c.sent = 1
-	c.began = w.now
-	w.callerCopies(c, c.flow)
+	c.flow = segment.Flow{Caller: netip.AddrPortFrom(c.ip, c.port), Listener: testListener}
+	c.target, c.agent, c.seq, c.awaitingAnswer, c.copies = nil, nil, 0, false, 0
+	c.nextSeq = 1
+	c.flowOpenedAt = w.now
+	w.sendOpeningCopies(c, c.flow)
 }
 
-func (w *world) callerCopies(c *worldCaller, flow segment.Flow) {
+func (w *simulation) sendOpeningCopies(c *simCaller, flow segment.Flow) {
 	if c.flow != flow || c.seq != 0 {
 		return
 	}
-	if c.copies == worldCopies {
-		w.after(400, func() { w.callerOpens(c) })
+	if c.copies == simOpeningCopies {
+		w.schedule(400, func() { w.openFlow(c) })
 		return
 	}
-	w.callerSends(c, segment.Segment{Flags: segment.Opens, Ack: uint32(c.copies)})
+	w.sendFromCaller(c, segment.Segment{Flags: segment.Opens, Ack: uint32(c.copies)})
 	c.copies++
-	w.after(clock.Millis(200*c.copies), func() { w.callerCopies(c, flow) })
+	w.schedule(clock.Millis(200*c.copies), func() { w.sendOpeningCopies(c, flow) })
 }
 
 // callerSends goes through the balancer that the fabric picks: mostly the same
 // one, and another one while that is down.
-func (w *world) callerSends(c *worldCaller, s segment.Segment) {
+func (w *simulation) sendFromCaller(c *simCaller, s segment.Segment) {
 	s.Source, s.Destination = c.flow.Caller, c.flow.Listener
 	packet := encode(s)
 	n := len(w.balancers)
@@ -41,9 +41,9 @@
 		if !b.up {
 			continue
 		}
-		w.network(c.flow.Caller, b.address, func() {
+		w.transmit(c.flow.Caller, b.address, func() {
 			if b.up {
-				b.steerer.Arrive(w.now, decode(packet), packet)
+				b.steerer.HandlePacket(w.now, decode(packet), packet)
 				w.flushBalancer(b)
 			}
 		})
@@ -51,7 +51,7 @@
 	}
 }
 
-func (w *world) callerHears(_ *worldAgent, s *segment.Segment) {
+func (w *simulation) callerReceives(_ *simAgent, s *segment.Segment) {
 	id := s.FromUpstream()
 	for _, c := range w.callers {
 		if c.flow != id {
@@ -59,58 +59,58 @@
 		}
 		switch {
 		case s.Flags.Has(segment.Resets):
-			w.callerOpens(c)
+			w.openFlow(c)
 		case s.Flags.Has(segment.Opens):
 			if c.seq == 0 {
 				c.seq = s.Seq + 1
-				w.callerAsks(c, c.flow)
+				w.sendRequest(c, c.flow)
 			}
-		case s.Size > 0 && c.waiting:
-			c.waiting = false
+		case s.Size > 0 && c.awaitingAnswer:
+			c.awaitingAnswer = false
 			w.served++
 			flow := c.flow
-			w.after(clock.Millis(200+w.random.IntN(1500)), func() { w.callerAsks(c, flow) })
+			w.schedule(clock.Millis(200+w.random.IntN(1500)), func() { w.sendRequest(c, flow) })
 		}
 	}
 }
 
-func (w *world) callerAsks(c *worldCaller, flow segment.Flow) {
+func (w *simulation) sendRequest(c *simCaller, flow segment.Flow) {
 	if c.flow != flow {
 		return
 	}
-	if w.now.Sub(c.began) > 20*clock.Second {
-		w.callerOpens(c)
+	if w.now.Sub(c.flowOpenedAt) > 20*clock.Second {
+		w.openFlow(c)
 		return
 	}
-	c.waiting, c.asked = true, w.now
-	c.sent += worldRequest
-	w.callerRepeats(c, flow, c.asked, 200)
+	c.awaitingAnswer, c.requestedAt = true, w.now
+	c.nextSeq += simRequestSize
+	w.sendRequestCopies(c, flow, c.requestedAt, 200)
 }
 
 // callerRepeats sends a request again until it is answered or the caller's
 // patience ends.
-func (w *world) callerRepeats(c *worldCaller, flow segment.Flow, asked, pause clock.Millis) {
-	if c.flow != flow || !c.waiting || c.asked != asked {
+func (w *simulation) sendRequestCopies(c *simCaller, flow segment.Flow, asked, pause clock.Millis) {
+	if c.flow != flow || !c.awaitingAnswer || c.requestedAt != asked {
 		return
 	}
 	if w.now.Sub(asked) > 2*clock.Second {
-		if c.openedAt != nil && c.openedAt.alive && asked > c.openedAt.faulty && w.calm(c) {
-			w.fail("%s hangs, its target %s lives", c.flow, c.owner.address)
+		if c.target != nil && c.target.alive && asked > c.target.failsUntil && w.undisturbed(c) {
+			w.fail("%s hangs, its target %s lives", c.flow, c.agent.address)
 		}
-		w.callerOpens(c)
+		w.openFlow(c)
 		return
 	}
-	w.callerSends(c, segment.Segment{Flags: segment.Acks, Ack: c.seq, Seq: c.sent - worldRequest, Size: worldRequest})
-	w.after(pause, func() { w.callerRepeats(c, flow, asked, 2*pause) })
+	w.sendFromCaller(c, segment.Segment{Flags: segment.Acks, Ack: c.seq, Seq: c.nextSeq - simRequestSize, Size: simRequestSize})
+	w.schedule(pause, func() { w.sendRequestCopies(c, flow, asked, 2*pause) })
 }
 
 // calm reports that nothing unplanned happened to what the flow needs.
-func (w *world) calm(c *worldCaller) bool {
-	if w.now.Sub(c.owner.last) <= worldCalm || !c.owner.up {
+func (w *simulation) undisturbed(c *simCaller) bool {
+	if w.now.Sub(c.agent.end) <= simRecoveryTime || !c.agent.up {
 		return false
 	}
 	for _, b := range w.balancers {
-		if w.now.Sub(b.last) <= worldCalm {
+		if w.now.Sub(b.end) <= simRecoveryTime {
 			return false
 		}
 	}
@@ -119,19 +119,19 @@
 
 // anAgent resets only what its target surely does not hold, also in the middle of
 // faults.
-const anAgent = "an agent"
+const byAgent = "an agent"
 
-func (w *world) callerReset(id segment.Flow, by string) {
+func (w *simulation) resetCaller(id segment.Flow, by string) {
 	for _, c := range w.callers {
 		if c.flow != id {
 			continue
 		}
-		if c.openedAt != nil && c.openedAt.alive && (w.calm(c) || by == anAgent) {
-			w.fail("%s is reset by %s, its target %s lives", id, by, c.owner.address)
+		if c.target != nil && c.target.alive && (w.undisturbed(c) || by == byAgent) {
+			w.fail("%s is reset by %s, its target %s lives", id, by, c.agent.address)
 		}
-		w.after(worldFar, func() {
+		w.schedule(simResetDelay, func() {
 			if c.flow == id {
-				w.callerOpens(c)
+				w.openFlow(c)
 			}
 		})
 	}
--- a/internal/connection/stream/choose_test.go
+++ b/internal/connection/stream/choose_test.go
@@ -26,7 +26,7 @@
 func loaded(loads ...load) *Targets {
 	ts := NewTargets("a", nil, 1)
 	for i, l := range loads {
-		ts.Report(testNow, worldAddress(2, i), &wire.Report{
+		ts.Report(testNow, testAddress(2, i), &wire.Report{
 			Name: fmt.Sprint("t", i), Domain: l.domain, Service: "one", Epoch: 1, Sequence: 1, Born: 1,
 			Condition: wire.Condition_CONDITION_READY, Slots: 4, Flows: uint32(l.flows),
 			Busy: uint32(l.busy * busyScale), Cold: l.cold,
@@ -44,7 +44,7 @@
 			continue
 		}
 		for i := range counts {
-			if t.Address == worldAddress(2, i) {
+			if t.Address == testAddress(2, i) {
 				counts[i]++
 			}
 		}
@@ -128,7 +128,7 @@
 // to be ready: it gets no opening.
 func TestChooseLeavesOut(t *testing.T) {
 	ts := loaded(load{"a", 0, 0, 0}, load{"a", 0, 0, 0})
-	first, second := worldAddress(2, 0), worldAddress(2, 1)
+	first, second := testAddress(2, 0), testAddress(2, 1)
 	if got, ok := ts.Choose(testNow, Demand{Service: "one", Tried: []netip.AddrPort{first}}); !ok || got.Address != second {
 		t.Errorf("after the first was tried: %v", got)
 	}
@@ -154,7 +154,7 @@
 	ts.Due(testNow)
 	later := testNow + 10*clock.Second
 	ts.Due(later)
-	if target, _ := ts.Find(worldAddress(2, 0)); target.Lost(later) {
+	if target, _ := ts.Find(testAddress(2, 0)); target.Lost(later) {
 		t.Error("a target counts as lost after the balancer's own pause")
 	}
 }
@@ -168,13 +168,13 @@
 		h.Checked(testNow+1000, Refusing)
 	}
 	h.Stop(testNow + 1001)
-	balancer := worldAddress(1, 0)
+	balancer := testAddress(1, 0)
 	h.Tell(testNow+1001, []netip.AddrPort{balancer})
 	if r := h.Take().Sends[0].Parcel.Report; r.Condition != wire.Condition_CONDITION_GONE {
 		t.Errorf("an agent without a target stops as %v", r.Condition)
 	}
 	ts := loaded(load{"a", 0, 0, 0})
-	target, _ := ts.Find(worldAddress(2, 0))
+	target, _ := ts.Find(testAddress(2, 0))
 	ts.Report(testNow, target.Address, &wire.Report{
 		Service: "one", Epoch: 1, Sequence: 2, Born: 1, Restarting: true, Condition: wire.Condition_CONDITION_READY,
 	})
@@ -194,11 +194,11 @@
 func TestTargetsAreBounded(t *testing.T) {
 	ts := NewTargets("a", nil, 1)
 	for i := range 3 * mostTargets {
-		ts.Report(testNow, worldAddress(i>>16, 2*i), &wire.Report{Service: "one", Epoch: 1, Sequence: 1})
-		ts.Learn(testNow, worldAddress(i>>16, 2*i+1), "t", "a", "one")
+		ts.Report(testNow, testAddress(i>>16, 2*i), &wire.Report{Service: "one", Epoch: 1, Sequence: 1})
+		ts.Learn(testNow, testAddress(i>>16, 2*i+1), "t", "a", "one")
 	}
 	for i := range 3 * mostTargets {
-		ts.Report(testNow, worldAddress(9, i), &wire.Report{Epoch: 1, Sequence: 1, Condition: wire.Condition_CONDITION_GONE})
+		ts.Report(testNow, testAddress(9, i), &wire.Report{Epoch: 1, Sequence: 1, Condition: wire.Condition_CONDITION_GONE})
 	}
 	if ts.Len() > mostTargets || len(ts.left) > mostTargets {
 		t.Errorf("%d targets and %d that left are known, want up to %d", ts.Len(), len(ts.left), mostTargets)
--- a/internal/connection/stream/demand.go
+++ b/internal/connection/stream/demand.go
@@ -31,14 +31,14 @@
 	s.noteEvacuations(d.Withdrawn, "no longer evacuated")
 	changed := first || d.Any()
 	if changed {
-		s.retry(now)
+		s.retryQueued(now)
 	}
 	return changed
 }
 
 func (s *Steerer) noteEvacuations(domains []string, reason string) {
 	for _, d := range domains {
-		s.out.note(Event{Kind: Evacuation, Name: d, Reason: reason, Version: s.Targets.evacuated.Revision})
+		s.out.record(Event{Kind: Evacuation, Name: d, Reason: reason, Version: s.Targets.evacuated.Revision})
 	}
 }
 
@@ -49,7 +49,7 @@
 
 // blind reports that it is not known yet where nothing is to be opened.
 func (s *Steerer) blind() bool {
-	return s.settings.Evacuates && !s.Targets.evacuated.Known()
+	return s.settings.AwaitEvacuations && !s.Targets.evacuated.Known()
 }
 
 // allowed reports whether flows may be opened in a failure domain.
--- a/internal/connection/stream/empty_test.go
+++ b/internal/connection/stream/empty_test.go
@@ -9,27 +9,27 @@
 )
 
 // alone is an agent that has just started and has not heard of a target.
-func alone() *Holder {
+func newAgentWithoutTarget() *Holder {
 	return NewHolder(testNow, HolderSettings{
-		Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 10, FlowLife: worldLife, Epoch: 1, Port: worldPort,
+		Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 10, FlowLife: testFlowTTL, Epoch: 1, Port: simPort,
 	})
 }
 
 // says asks an agent about a flow.
-func says(h *Holder, now clock.Millis) wire.Holding {
+func askHolding(h *Holder, now clock.Millis) wire.Holding {
 	h.Take()
-	q := newQuestions(0, always)
-	q.add(now, worldAddress(2, 0), false, segment.Flow{Caller: worldAddress(100, 0), Listener: worldListener}, 7)
+	q := newQuestions(0, alwaysSearching)
+	q.add(now, testAddress(2, 0), false, segment.Flow{Caller: testAddress(100, 0), Listener: testListener}, 7)
 	var out Outcome
 	q.flush(now, 0, &out)
-	h.Hear(now, worldAddress(1, 0), out.Sends[0].Parcel, nil)
+	h.Hear(now, testAddress(1, 0), out.Sends[0].Parcel, nil)
 	return wire.Holding(h.Take().Sends[0].Parcel.Holdings[0])
 }
 
 // handed hands the agent a packet of that flow, which the VM returns.
-func handed(h *Holder, now clock.Millis) {
+func returnPacket(h *Holder, now clock.Millis) {
 	s := segment.Segment{
-		Source: worldAddress(100, 0), Destination: worldListener, Flags: segment.Acks | segment.Returned, Ack: 7,
+		Source: testAddress(100, 0), Destination: testListener, Flags: segment.Acks | segment.Returned, Ack: 7,
 	}
 	h.FromTarget(now, &s, encode(s))
 }
@@ -38,16 +38,16 @@
 // again, with no target. Its VM refuses connections, but returns packets that are
 // handed over. Callers wait for a reset that needs this agent's word: it has to
 // deny all flows once two looks were refused, whatever the VM returns meanwhile.
-func TestNoTargetDeniesFlows(t *testing.T) {
-	h := alone()
-	if got := says(h, testNow+10); got != wire.Holding_HOLDING_UNKNOWN {
+func TestAgentWithoutTargetDeniesFlows(t *testing.T) {
+	h := newAgentWithoutTarget()
+	if got := askHolding(h, testNow+10); got != wire.Holding_HOLDING_UNKNOWN {
 		t.Errorf("an agent that has just started says %v", got)
 	}
 	for i := range clock.Millis(absences) {
 		h.Checked(testNow+50+i*checkEvery, Refusing)
-		handed(h, testNow+60+i*checkEvery)
+		returnPacket(h, testNow+60+i*checkEvery)
 	}
-	if got := says(h, testNow+300); got != wire.Holding_HOLDING_NOT {
+	if got := askHolding(h, testNow+300); got != wire.Holding_HOLDING_NOT {
 		t.Errorf("after refused looks the agent says %v", got)
 	}
 }
@@ -56,12 +56,12 @@
 // agent says nothing rather than be handed packets that nobody takes or returns,
 // until two heartbeats were due. Then it tells the balancers that there is no
 // target, and nobody waits for it when its VM is taken away.
-func TestUnansweredLooksAreNoProof(t *testing.T) {
-	h := alone()
+func TestUnansweredChecksAreInconclusive(t *testing.T) {
+	h := newAgentWithoutTarget()
 	for i := range clock.Millis(3) {
 		h.Checked(testNow+50+i*checkEvery, Unanswered)
 	}
-	if got := says(h, testNow+700); got != wire.Holding_HOLDING_UNKNOWN {
+	if got := askHolding(h, testNow+700); got != wire.Holding_HOLDING_UNKNOWN {
 		t.Errorf("after looks without an answer the agent says %v", got)
 	}
 	if got := h.report(testNow+2300, 0).Condition; got != wire.Condition_CONDITION_UNKNOWN {
@@ -71,7 +71,7 @@
 	if got := h.report(later, 0).Condition; got != wire.Condition_CONDITION_GONE {
 		t.Errorf("after two heartbeats were due the target is %v", got)
 	}
-	if got := says(h, later); got != wire.Holding_HOLDING_NOT {
+	if got := askHolding(h, later); got != wire.Holding_HOLDING_NOT {
 		t.Errorf("after two heartbeats were due the agent says %v", got)
 	}
 	h.Beat(later+1, Beat{Service: "one", Born: 5, Sequence: 1, Slots: 2})
@@ -85,18 +85,18 @@
 // whether the target holds its flow. A target that is starting resets what it does
 // not know. The caller must not hear that: the flow is well at another target. The
 // balancer hears that this one does not hold it.
-func TestResetOfStrangerStaysHere(t *testing.T) {
-	h := alone()
+func TestResetOfUnknownFlowIsDropped(t *testing.T) {
+	h := newAgentWithoutTarget()
 	h.Checked(testNow+1, Listening)
-	if got := says(h, testNow+10); got != wire.Holding_HOLDING_UNSURE {
+	if got := askHolding(h, testNow+10); got != wire.Holding_HOLDING_UNSURE {
 		t.Errorf("an agent beside a process that listens says %v", got)
 	}
-	packet := segment.Segment{Source: worldAddress(100, 0), Destination: worldListener, Flags: segment.Acks, Ack: 7, Size: 100}
-	h.Hear(testNow+11, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
+	packet := segment.Segment{Source: testAddress(100, 0), Destination: testListener, Flags: segment.Acks, Ack: 7, Size: 100}
+	h.Hear(testNow+11, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
 	if got := len(h.Take().Deliveries); got != 1 {
 		t.Fatalf("the packet was handed over %d times", got)
 	}
-	reset := segment.Segment{Source: worldListener, Destination: worldAddress(100, 0), Flags: segment.Resets, Seq: 8}
+	reset := segment.Segment{Source: testListener, Destination: testAddress(100, 0), Flags: segment.Resets, Seq: 8}
 	h.FromTarget(testNow+12, &reset, encode(reset))
 	out := h.Take()
 	if len(out.Answers) > 0 || len(out.Resets) > 0 {
--- a/internal/connection/stream/evacuation_test.go
+++ b/internal/connection/stream/evacuation_test.go
@@ -16,14 +16,14 @@
 func evacuating(t *testing.T, table *routing.Table, evacuated []string, domains ...string) *Steerer {
 	t.Helper()
 	s := NewSteerer(testNow-clock.Minute, Settings{
-		Domain: "a", Regions: map[string]string{"a": "north", "b": "north", "c": "south"}, Evacuates: true,
-		Flows: 1000, FlowLife: worldLife,
+		Domain: "a", Regions: map[string]string{"a": "north", "b": "north", "c": "south"}, AwaitEvacuations: true,
+		MaxFlows: 1000, FlowTTL: testFlowTTL,
 	})
 	s.SetTable(testNow, table)
 	for i, d := range domains {
 		r := ready(1, 1)
 		r.Domain, r.Slots = d, 4
-		s.Hear(testNow, worldAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		s.HandleParcel(testNow, testAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	s.TakeEvacuations(testNow, evacuation.New(5, evacuated))
 	s.Take()
@@ -35,7 +35,7 @@
 	counts := make([]int, targets)
 	for _, send := range out.Sends {
 		for i := range counts {
-			if send.Parcel.Verb == wire.Verb_VERB_OPEN && send.To == worldAddress(2, i) {
+			if send.Parcel.Verb == wire.Verb_VERB_OPEN && send.To == testAddress(2, i) {
 				counts[i]++
 			}
 		}
@@ -46,20 +46,20 @@
 // A failure domain is evacuated at the peak: from the order on nothing is opened there, by
 // balancers that live in it as by others, until it is withdrawn.
 func TestNothingOpensWhereEvacuated(t *testing.T) {
-	s := evacuating(t, oneListener(t), []string{"a"}, "a", "b")
+	s := evacuating(t, newTestTable(t), []string{"a"}, "a", "b")
 	for i := range 100 {
-		opens(s, testNow, i)
+		sendOpening(s, testNow, i)
 	}
 	if got := openedAt(s.Take(), 2); got[0] != 0 || got[1] != 100 {
 		t.Errorf("openings went %v", got)
 	}
 	s.TakeEvacuations(testNow, evacuation.New(4, nil))
-	opens(s, testNow, 200)
+	sendOpening(s, testNow, 200)
 	if got := openedAt(s.Take(), 2); got[0] != 0 {
 		t.Error("an older word has undone the order")
 	}
 	s.TakeEvacuations(testNow, evacuation.New(6, nil))
-	opens(s, testNow, 201)
+	sendOpening(s, testNow, 201)
 	if got := openedAt(s.Take(), 2); got[0] != 1 {
 		t.Error("the order was withdrawn, and nothing is opened")
 	}
@@ -68,7 +68,7 @@
 // Every failure domain is evacuated, or no target is in a home region of the listener: the
 // caller is told at once that nothing has run, and does not wait until its deadline.
 func TestRefusedAtOnceWhereNothingMayOpen(t *testing.T) {
-	homes := oneListener(t)
+	homes := newTestTable(t)
 	homes.Listeners[0].Homes = []string{"south"}
 	for _, c := range []struct {
 		name      string
@@ -77,14 +77,14 @@
 		domains   []string
 		refused   bool
 	}{
-		{"all evacuated", oneListener(t), []string{"a", "b"}, []string{"a", "b"}, true},
-		{"one evacuated", oneListener(t), []string{"a"}, []string{"a", "b"}, false},
+		{"all evacuated", newTestTable(t), []string{"a", "b"}, []string{"a", "b"}, true},
+		{"one evacuated", newTestTable(t), []string{"a"}, []string{"a", "b"}, false},
 		{"no target at home", homes, nil, []string{"a", "b"}, true},
 		{"home evacuated", homes, []string{"c"}, []string{"a", "c"}, true},
-		{"no target at all", oneListener(t), []string{"a"}, nil, false},
+		{"no target at all", newTestTable(t), []string{"a"}, nil, false},
 	} {
 		s := evacuating(t, c.table, c.evacuated, c.domains...)
-		opens(s, testNow, 1)
+		sendOpening(s, testNow, 1)
 		out := s.Take()
 		if got := len(out.Resets) == 1; got != c.refused {
 			t.Errorf("%s: refused %v at once, want %v", c.name, got, c.refused)
@@ -96,11 +96,11 @@
 // there may be others; once it is known that there are none its caller is told, and does not
 // wait until its copies are over.
 func TestWaitingIsRefusedOnceCertain(t *testing.T) {
-	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
-	s.SetTable(testNow, oneListener(t))
-	hearTarget(s, testNow)
+	s := NewSteerer(testNow, Settings{Domain: "a", AwaitEvacuations: true, MaxFlows: 1000, FlowTTL: testFlowTTL})
+	s.SetTable(testNow, newTestTable(t))
+	reportReadyTarget(s, testNow)
 	s.TakeEvacuations(testNow, evacuation.New(5, []string{"a"}))
-	opens(s, testNow+10, 1)
+	sendOpening(s, testNow+10, 1)
 	if out := s.Take(); len(out.Resets) != 0 {
 		t.Fatal("refused before it was certain")
 	}
@@ -113,16 +113,16 @@
 
 // The last target that may take a flow is gone for good while the others are evacuated.
 func TestRefusedWhereTheRestIsLost(t *testing.T) {
-	s := evacuating(t, oneListener(t), []string{"a"}, "a", "b")
+	s := evacuating(t, newTestTable(t), []string{"a"}, "a", "b")
 	now := testNow
 	for ; now < testNow+2*deadAfter; now += 50 {
 		r := ready(1, uint64(now))
 		r.Domain = "a"
-		s.Hear(now, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		s.HandleParcel(now, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 		s.Tick(now)
 	}
 	s.Take()
-	opens(s, now, 1)
+	sendOpening(s, now, 1)
 	if out := s.Take(); len(out.Resets) != 1 {
 		t.Errorf("%d resets, want one at once", len(out.Resets))
 	}
@@ -131,11 +131,11 @@
 // A listener has a home region: its flows are opened in no other, also where their
 // balancer's own failure domain has room.
 func TestHomeRegions(t *testing.T) {
-	table := oneListener(t)
+	table := newTestTable(t)
 	table.Listeners[0].Homes = []string{"south"}
 	s := evacuating(t, table, nil, "a", "b", "c")
 	for i := range 50 {
-		opens(s, testNow, i)
+		sendOpening(s, testNow, i)
 	}
 	if got := openedAt(s.Take(), 3); got[0] != 0 || got[1] != 0 || got[2] != 50 {
 		t.Errorf("openings went %v", got)
@@ -145,16 +145,16 @@
 // A search hands packets to agents that do not know: what callers send does not leave the
 // home regions of their listener.
 func TestSearchStaysInHomeRegions(t *testing.T) {
-	table := oneListener(t)
+	table := newTestTable(t)
 	table.Listeners[0].Homes = []string{"south"}
 	s := evacuating(t, table, nil, "a", "c")
 	id := callerFlow(1)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Ack: 9, Size: 100})
-	s.Arrive(testNow, decode(packet), packet)
+	s.HandlePacket(testNow, decode(packet), packet)
 	for at := testNow; at < testNow+300; at += 10 {
 		for i := range 2 {
 			unsure := &wire.Parcel{Verb: wire.Verb_VERB_ANSWER, Flow: segment.AppendFlow(nil, id), Holding: wire.Holding_HOLDING_UNSURE}
-			s.Hear(at, worldAddress(2, i), unsure, nil)
+			s.HandleParcel(at, testAddress(2, i), unsure, nil)
 		}
 		s.Tick(at)
 	}
@@ -164,7 +164,7 @@
 			handed[send.To] = true
 		}
 	}
-	if handed[worldAddress(2, 0)] || !handed[worldAddress(2, 1)] {
+	if handed[testAddress(2, 0)] || !handed[testAddress(2, 1)] {
 		t.Errorf("the packet was handed to %v", handed)
 	}
 }
@@ -172,15 +172,15 @@
 // A balancer starts while a failure domain is evacuated, and the store is away: its first
 // openings wait for a peer's word, and go where they may.
 func TestStartWaitsForEvacuations(t *testing.T) {
-	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
-	s.SetTable(testNow, oneListener(t))
-	hearTarget(s, testNow)
-	opens(s, testNow+10, 1)
-	if n := opened(s); n != 0 {
+	s := NewSteerer(testNow, Settings{Domain: "a", AwaitEvacuations: true, MaxFlows: 1000, FlowTTL: testFlowTTL})
+	s.SetTable(testNow, newTestTable(t))
+	reportReadyTarget(s, testNow)
+	sendOpening(s, testNow+10, 1)
+	if n := countOpenings(s); n != 0 {
 		t.Fatal("an opening was sent before it was known where")
 	}
 	s.TakeEvacuations(testNow+60, evacuation.New(5, nil))
-	if n := opened(s); n != 1 {
+	if n := countOpenings(s); n != 1 {
 		t.Errorf("%d openings were sent once the evacuations were known", n)
 	}
 }
@@ -188,12 +188,12 @@
 // Nobody can tell a balancer where nothing may be opened, for the store is away and all
 // have just started: callers are served after a while.
 func TestServesWithoutEvacuationsInTheEnd(t *testing.T) {
-	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
-	s.SetTable(testNow, oneListener(t))
-	hearTarget(s, testNow+startFor)
-	opens(s, testNow+startFor+1, 1)
-	if n := opened(s); n != 1 {
-		t.Errorf("%d openings were sent after %d ms", n, startFor)
+	s := NewSteerer(testNow, Settings{Domain: "a", AwaitEvacuations: true, MaxFlows: 1000, FlowTTL: testFlowTTL})
+	s.SetTable(testNow, newTestTable(t))
+	reportReadyTarget(s, testNow+startupPeriod)
+	sendOpening(s, testNow+startupPeriod+1, 1)
+	if n := countOpenings(s); n != 1 {
+		t.Errorf("%d openings were sent after %d ms", n, startupPeriod)
 	}
 }
 
@@ -201,7 +201,7 @@
 func evacuatedAgent() *Holder {
 	now := testNow
 	h := NewHolder(now, HolderSettings{
-		Domain: "a", Service: "one", Port: worldPort, Flows: 100, FlowLife: worldLife, Heartbeat: 1200, SilentAfter: 3600,
+		Domain: "a", Service: "one", Port: simPort, Flows: 100, FlowLife: testFlowTTL, Heartbeat: 1200, SilentAfter: 3600,
 	})
 	h.Beat(now, Beat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
 	return h
@@ -209,7 +209,7 @@
 
 func tellEvacuation(h *Holder, now clock.Millis, revision uint64, evacuated bool) {
 	probe := &wire.Report{Probe: 1, Orders: revision, Evacuated: evacuated}
-	h.Hear(now, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_PROBE, Report: probe}, nil)
+	h.Hear(now, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_PROBE, Report: probe}, nil)
 	h.Take()
 }
 
@@ -218,7 +218,7 @@
 	id := callerFlow(i)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
 	p := &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: packet, Warming: uint32(warming)}
-	h.Hear(now, worldAddress(1, 0), p, decode(packet))
+	h.Hear(now, testAddress(1, 0), p, decode(packet))
 	out := h.Take()
 	if len(out.Deliveries) > 0 {
 		return wire.Cause_CAUSE_NONE
@@ -292,21 +292,21 @@
 	if taken != rate || handed != 10*balancers-rate {
 		t.Errorf("%d taken, %d handed back", taken, handed)
 	}
-	table := oneListener(t)
+	table := newTestTable(t)
 	table.Services = []routing.Service{{Name: "one", Warming: rate}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
 	s := evacuating(t, table, nil, "b")
-	h.Tell(testNow+20, []netip.AddrPort{worldAddress(1, 0)})
+	h.Tell(testNow+20, []netip.AddrPort{testAddress(1, 0)})
 	report := h.Take().Sends[0].Parcel
-	s.Hear(testNow+20, worldAddress(2, 9), report, nil)
+	s.HandleParcel(testNow+20, testAddress(2, 9), report, nil)
 	s.Take()
 	for i := range 30 {
-		opens(s, testNow+21, i)
+		sendOpening(s, testNow+21, i)
 	}
 	for _, send := range s.Take().Sends {
-		if send.Parcel.Verb == wire.Verb_VERB_OPEN && send.To == worldAddress(2, 9) {
+		if send.Parcel.Verb == wire.Verb_VERB_OPEN && send.To == testAddress(2, 9) {
 			t.Fatal("an opening went to a target that has no room")
 		}
 	}
@@ -331,27 +331,27 @@
 // others were faster. The opening is tried again for as long as openings wait, and then its
 // caller is told.
 func TestTurnedAwayAgainAndAgain(t *testing.T) {
-	table := oneListener(t)
+	table := newTestTable(t)
 	table.Services = []routing.Service{{Name: "one", Warming: 4}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
 	s := evacuating(t, table, nil)
 	refused := clock.Millis(0)
-	for now := testNow; now < testNow+3*waitFor; now += 20 {
+	for now := testNow; now < testNow+3*queueTimeout; now += 20 {
 		r := ready(1, uint64(now-testNow)+1)
 		r.Domain, r.Cold, r.Room = "a", 5000, 4
 		report := &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}
-		s.Hear(now, worldAddress(2, 0), report, nil)
+		s.HandleParcel(now, testAddress(2, 0), report, nil)
 		if now == testNow {
-			opens(s, now, 1)
+			sendOpening(s, now, 1)
 		}
 		s.Tick(now)
 		out := s.Take()
 		for _, send := range out.Sends {
 			if p := send.Parcel; p.Verb == wire.Verb_VERB_OPEN {
 				back := &wire.Parcel{Verb: wire.Verb_VERB_RETURN, Cause: wire.Cause_CAUSE_WARMING, Packet: p.Packet}
-				s.Hear(now, send.To, back, decode(p.Packet))
+				s.HandleParcel(now, send.To, back, decode(p.Packet))
 				out.Resets = append(out.Resets, s.Take().Resets...)
 			}
 		}
@@ -359,11 +359,11 @@
 			refused = now.Sub(testNow)
 		}
 	}
-	if refused == 0 || refused > waitFor+50 {
+	if refused == 0 || refused > queueTimeout+50 {
 		t.Errorf("refused after %d ms", refused)
 	}
-	if len(s.waiting) > 0 {
-		t.Errorf("%d openings wait", len(s.waiting))
+	if len(s.queued) > 0 {
+		t.Errorf("%d openings wait", len(s.queued))
 	}
 }
 
@@ -371,7 +371,7 @@
 // for the next moment instead of being refused.
 func TestCrowdWaitsForWarmTargets(t *testing.T) {
 	const rate = 4
-	table := oneListener(t)
+	table := newTestTable(t)
 	table.Services = []routing.Service{{Name: "one", Warming: rate}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
@@ -380,12 +380,12 @@
 	cold := func(at clock.Millis, sequence uint64) {
 		r := ready(1, sequence)
 		r.Domain, r.Cold, r.Room = "a", 2000, rate+1
-		s.Hear(at, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		s.HandleParcel(at, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	cold(testNow, 1)
 	s.Take()
 	for i := range 2 * rate {
-		opens(s, testNow, i)
+		sendOpening(s, testNow, i)
 	}
 	out := s.Take()
 	if got := openedAt(out, 1)[0]; got != rate || len(out.Resets) != 0 {
--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -13,7 +13,7 @@
 // faultCount is how many faults one seed has, and seeds how many are run.
 const (
 	faultCount = 25
-	seeds      = 60
+	seedCount  = 60
 )
 
 // TestWorld runs flows while everything happens to balancers, agents and
@@ -23,12 +23,12 @@
 // never reset and never hangs for two seconds; a request goes to no target that
 // was acknowledged to drain, and to no service that the table never named.
 func TestWorld(t *testing.T) {
-	count := seeds
+	count := seedCount
 	if more, err := strconv.Atoi(os.Getenv("WAGTAILTRAY_FUZZ")); err == nil {
 		count = more
 	}
 	for seed := range count {
-		w := faultyWorld(t, uint64(seed))
+		w := newFaultySimulation(t, uint64(seed))
 		w.run(60 * clock.Second)
 		if w.served < 200 {
 			w.fail("only %d requests were served", w.served)
@@ -43,35 +43,35 @@
 }
 
 // planned are the faults that operators plan; flows must outlive all of them.
-var planned = []int{0, 2, 4, 8, 13}
+var plannedFaults = []int{0, 2, 4, 8, 13}
 
 // faultyWorld has faults of all kinds, or in each other seed planned ones only.
-func faultyWorld(t testing.TB, seed uint64) *world {
-	w := newWorld(t, seed, 5, 9, 40)
+func newFaultySimulation(t testing.TB, seed uint64) *simulation {
+	w := newSimulation(t, seed, 5, 9, 40)
 	for range faultCount {
 		kind := w.random.IntN(14)
 		if seed%2 == 1 {
-			kind = planned[w.random.IntN(len(planned))]
+			kind = plannedFaults[w.random.IntN(len(plannedFaults))]
 		}
-		w.after(clock.Millis(5000+w.random.IntN(40000)), func() { w.fault(kind) })
+		w.schedule(clock.Millis(5000+w.random.IntN(40000)), func() { w.injectFault(kind) })
 	}
 	return w
 }
 
 // fault makes one thing happen.
-func (w *world) fault(kind int) {
+func (w *simulation) injectFault(kind int) {
 	b := w.balancers[w.random.IntN(len(w.balancers))]
 	a := w.agents[w.random.IntN(len(w.agents))]
-	w.note(netip.AddrPort{}, []Event{{Kind: "fault", Count: kind, Target: b.address, Reason: a.address.String()}})
+	w.traceEvents(netip.AddrPort{}, []Event{{Kind: "fault", Count: kind, Target: b.address, Reason: a.address.String()}})
 	switch kind {
 	case 0:
-		w.planRestart(b)
+		w.restartBalancer(b)
 	case 1:
 		w.killBalancer(b)
 	case 2:
 		w.restartAgent(a, true)
 	case 3:
-		a.until(w.now)
+		a.extend(w.now)
 		w.restartAgent(a, false)
 	case 4:
 		w.drainTarget(a)
@@ -80,15 +80,15 @@
 	case 6:
 		w.loseVM(a)
 	case 7:
-		w.cutPath(b, a)
+		w.blockPath(b, a)
 	case 8:
 		w.setTable(w.table.Version+1, []string{"one", "two"}[w.random.IntN(2)])
 	case 9:
 		w.freezeBalancer(b)
 	case 10:
-		w.herd()
+		w.killAllProcesses()
 	case 11:
-		w.spoilTarget(a)
+		w.failRequests(a)
 	case 12:
 		w.power()
 	case 13:
@@ -99,29 +99,29 @@
 const (
 	// worldOrder is how long an order may take to reach a balancer, and worldOrdered from
 	// when on after it nothing may be opened: a balancer that starts has that much time.
-	worldOrder   = 400
-	worldOrdered = clock.Second
+	simEvacuationDelay = 400
+	simEvacuationGrace = clock.Second
 )
 
 // evacuate gives an order for a failure domain, or withdraws it. Balancers hear of it now or
 // later, and old lists come late.
-func (w *world) evacuate(domain string) {
-	last := w.orders[len(w.orders)-1]
+func (w *simulation) evacuate(domain string) {
+	last := w.snapshots[len(w.snapshots)-1]
 	c := evacuation.Change{Domain: domain, Withdrawn: last.Has(domain)}
 	next := last.After(last.Revision+1, []evacuation.Change{c})
-	w.orders = append(w.orders, next)
+	w.snapshots = append(w.snapshots, next)
 	delete(w.evacuated, domain)
 	if !c.Withdrawn {
 		w.evacuated[domain] = w.now
 	}
 	for _, b := range w.balancers {
-		w.hearOrder(b, next)
-		w.hearOrder(b, w.orders[w.random.IntN(len(w.orders))])
+		w.sendEvacuations(b, next)
+		w.sendEvacuations(b, w.snapshots[w.random.IntN(len(w.snapshots))])
 	}
 }
 
-func (w *world) hearOrder(b *worldBalancer, s evacuation.Snapshot) {
-	w.after(clock.Millis(w.random.IntN(worldOrder)), func() {
+func (w *simulation) sendEvacuations(b *simBalancer, s evacuation.Snapshot) {
+	w.schedule(clock.Millis(w.random.IntN(simEvacuationDelay)), func() {
 		if b.up {
 			b.steerer.TakeEvacuations(w.now, s)
 			w.flushBalancer(b)
@@ -130,7 +130,7 @@
 }
 
 // planRestart stops a balancer that tells the others its owners.
-func (w *world) planRestart(b *worldBalancer) {
+func (w *simulation) restartBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
@@ -141,29 +141,29 @@
 		}
 	}
 	b.up = false
-	w.after(w.restartAfter(true), func() { w.startBalancer(b) })
+	w.schedule(w.restartAfter(true), func() { w.startBalancer(b) })
 }
 
-func (w *world) killBalancer(b *worldBalancer) {
+func (w *simulation) killBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
 	d := clock.Millis(500 + w.random.IntN(3000))
 	b.up = false
-	b.until(w.now + d)
-	w.after(d, func() { w.startBalancer(b) })
+	b.extend(w.now + d)
+	w.schedule(d, func() { w.startBalancer(b) })
 }
 
 // freezeBalancer stops a balancer's time for a while; datagrams wait.
-func (w *world) freezeBalancer(b *worldBalancer) {
+func (w *simulation) freezeBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
 	d := clock.Millis(1000 + w.random.IntN(4000))
 	b.up = false
-	b.until(w.now + d)
+	b.extend(w.now + d)
 	frozen := b.steerer
-	w.after(d, func() {
+	w.schedule(d, func() {
 		if b.steerer != frozen || b.up {
 			return
 		}
@@ -172,9 +172,9 @@
 		tick = func() {
 			if b.steerer == frozen && b.up {
 				frozen.Tick(w.now)
-				w.settle(b)
+				w.updateSettled(b)
 				w.flushBalancer(b)
-				w.after(20, tick)
+				w.schedule(20, tick)
 			}
 		}
 		tick()
@@ -183,7 +183,7 @@
 
 // restartAfter is how soon a process is started again: within a second, now and then at
 // once or, after a fault, after many.
-func (w *world) restartAfter(planned bool) clock.Millis {
+func (w *simulation) restartAfter(planned bool) clock.Millis {
 	switch w.random.IntN(8) {
 	case 0:
 		return clock.Millis(10 + w.random.IntN(100))
@@ -196,7 +196,7 @@
 }
 
 // restartAgent starts a new process beside the same target.
-func (w *world) restartAgent(a *worldAgent, planned bool) {
+func (w *simulation) restartAgent(a *simAgent, planned bool) {
 	if !a.up {
 		return
 	}
@@ -210,9 +210,9 @@
 		w.flushAgent(a)
 	}
 	a.up = false
-	w.after(w.restartAfter(planned), func() {
+	w.schedule(w.restartAfter(planned), func() {
 		if !planned {
-			a.until(w.now)
+			a.extend(w.now)
 		}
 		if !a.up {
 			w.startAgent(a)
@@ -222,13 +222,13 @@
 
 // drainTarget ends a target as planned and starts another one beside the same
 // agent.
-func (w *world) drainTarget(a *worldAgent) {
+func (w *simulation) drainTarget(a *simAgent) {
 	t := a.target
 	if !t.alive || t.draining {
 		return
 	}
 	t.draining = true
-	w.after(6*clock.Second, func() {
+	w.schedule(6*clock.Second, func() {
 		if !t.alive {
 			return
 		}
@@ -237,17 +237,17 @@
 			a.holder.Leave(w.now)
 			w.flushAgent(a)
 		}
-		w.after(500, func() { w.startTarget(a) })
+		w.schedule(500, func() { w.startTarget(a) })
 	})
 }
 
-func (w *world) crashTarget(a *worldAgent) {
+func (w *simulation) crashTarget(a *simAgent) {
 	if !a.target.alive {
 		return
 	}
-	a.until(w.now)
+	a.extend(w.now)
 	a.target.alive = false
-	w.after(clock.Millis(200+w.random.IntN(3000)), func() {
+	w.schedule(clock.Millis(200+w.random.IntN(3000)), func() {
 		if !a.target.alive {
 			w.startTarget(a)
 		}
@@ -256,47 +256,47 @@
 
 // spoilTarget lets a target fail all requests for a while, with heartbeats as
 // before.
-func (w *world) spoilTarget(a *worldAgent) {
+func (w *simulation) failRequests(a *simAgent) {
 	t := a.target
-	t.faulty, t.mute = w.now+clock.Millis(2000+w.random.IntN(6000)), w.random.IntN(2) == 0
+	t.failsUntil, t.unresponsive = w.now+clock.Millis(2000+w.random.IntN(6000)), w.random.IntN(2) == 0
 }
 
 // loseVM takes agent and target away; others come later.
-func (w *world) loseVM(a *worldAgent) {
+func (w *simulation) loseVM(a *simAgent) {
 	if !a.up || !a.target.alive {
 		return
 	}
 	d := clock.Millis(1000 + w.random.IntN(4000))
-	a.until(w.now + d)
+	a.extend(w.now + d)
 	a.up, a.target.alive = false, false
-	w.after(d, func() {
+	w.schedule(d, func() {
 		w.startTarget(a)
 		w.startAgent(a)
 	})
 }
 
-func (w *world) cutPath(b *worldBalancer, a *worldAgent) {
+func (w *simulation) blockPath(b *simBalancer, a *simAgent) {
 	both := [][2]netip.AddrPort{{b.address, a.address}, {a.address, b.address}}
 	for _, path := range both {
-		w.cut[path] = true
+		w.blocked[path] = true
 	}
 	d := clock.Millis(1000 + w.random.IntN(4000))
-	a.until(w.now + d)
-	b.until(w.now + d)
-	w.after(d, func() {
+	a.extend(w.now + d)
+	b.extend(w.now + d)
+	w.schedule(d, func() {
 		for _, path := range both {
-			delete(w.cut, path)
+			delete(w.blocked, path)
 		}
 	})
 }
 
 // herd kills all balancers and agents; the targets live on.
-func (w *world) herd() {
+func (w *simulation) killAllProcesses() {
 	for _, b := range w.balancers {
 		w.killBalancer(b)
 	}
 	for _, a := range w.agents {
-		a.until(w.now)
+		a.extend(w.now)
 		w.restartAgent(a, false)
 	}
 }
--- a/internal/connection/stream/handon.go
+++ b/internal/connection/stream/handon.go
@@ -23,14 +23,14 @@
 //
 // Asked one by one, each lost flow would cross failure domains once for each target there.
 func (s *Steerer) HandOn(now clock.Millis, asker netip.AddrPort, p *wire.Parcel) bool {
-	if len(p.Asker) > 0 || !s.handing.fill(now) {
+	if len(p.Asker) > 0 || !s.relayBucket.refill(now) {
 		return false
 	}
 	for _, t := range s.Targets.Sorted() {
 		if t.Domain != s.settings.Domain || t.Heard == 0 || t.Lost(now) {
 			continue
 		}
-		s.handing.left--
+		s.relayBucket.tokens--
 		s.out.send(t.Address, &wire.Parcel{
 			Verb: wire.Verb_VERB_ASK, Number: p.Number, Questions: p.Questions, Asker: segment.AppendAddress(nil, asker),
 		})
--- a/internal/connection/stream/handon_test.go
+++ b/internal/connection/stream/handon_test.go
@@ -10,31 +10,31 @@
 )
 
 // always stands in for searches that never end.
-func always(segment.Flow) bool { return true }
+func alwaysSearching(segment.Flow) bool { return true }
 
-var testRelay = worldAddress(1, 9)
+var testRelay = testAddress(1, 9)
 
 // relayed returns a balancer in failure domain a that has begun a search, with one target
 // there that has denied the flow, and the relay of b with some.
-func relayed(t *testing.T, far int) (s, relay *Steerer) {
+func newRelayedSearch(t *testing.T, far int) (s, relay *Steerer) {
 	t.Helper()
-	s, _ = searching(t, 1, 0)
-	relay = NewSteerer(0, Settings{Domain: "b", Address: testRelay, Flows: 100, FlowLife: worldLife})
+	s, _ = newSearchingSteerer(t, 1, 0)
+	relay = NewSteerer(0, Settings{Domain: "b", Address: testRelay, MaxFlows: 100, FlowTTL: testFlowTTL})
 	for i := range far {
 		r := ready(1, 1)
 		r.Domain = "b"
-		relay.Hear(testNow, worldAddress(2, 1+i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		relay.HandleParcel(testNow, testAddress(2, 1+i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	for _, part := range relay.Summary(testNow, 1, 1, true) {
 		s.HearSummary(testNow, part)
 	}
 	s.Take()
-	answer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
+	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
 	s.Tick(testNow + 10)
 	return s, relay
 }
 
-func asks(s *Steerer) map[netip.AddrPort]*wire.Parcel {
+func sentQuestions(s *Steerer) map[netip.AddrPort]*wire.Parcel {
 	all := map[netip.AddrPort]*wire.Parcel{}
 	for _, send := range s.Take().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_ASK {
@@ -48,21 +48,21 @@
 // to be asked of all of them, and they answer the asker.
 func TestQuestionsGoByRelay(t *testing.T) {
 	const far = 40
-	s, relay := relayed(t, far)
-	asked := asks(s)
+	s, relay := newRelayedSearch(t, far)
+	asked := sentQuestions(s)
 	if len(asked) != 1 || asked[testRelay] == nil {
 		t.Fatalf("asked %v, want the relay", asked)
 	}
-	asker := worldAddress(1, 0)
+	asker := testAddress(1, 0)
 	if !relay.HandOn(testNow+14, asker, asked[testRelay]) {
 		t.Fatal("the relay does not hand the question on")
 	}
-	handed := asks(relay)
+	handed := sentQuestions(relay)
 	if len(handed) != far {
 		t.Fatalf("handed on to %d agents, want %d", len(handed), far)
 	}
 	for at, p := range handed {
-		h := NewHolder(0, HolderSettings{Service: "one", Port: worldPort, Flows: 10, FlowLife: worldLife})
+		h := NewHolder(0, HolderSettings{Service: "one", Port: simPort, Flows: 10, FlowLife: testFlowTTL})
 		h.Hear(testNow+15, testRelay, p, nil)
 		out := h.Take().Sends
 		if len(out) != 1 || out[0].To != asker {
@@ -72,7 +72,7 @@
 			t.Error("a question that was handed on is handed on again")
 		}
 		out[0].Parcel.Holdings[0] = byte(wire.Holding_HOLDING_NOT)
-		s.Hear(testNow+18, at, out[0].Parcel, nil)
+		s.HandleParcel(testNow+18, at, out[0].Parcel, nil)
 	}
 	s.SetSettled(true)
 	s.Tick(testNow + 20)
@@ -83,13 +83,13 @@
 
 // The relay is gone, or has no room for another question: the agents are asked directly
 // after a pause.
-func TestRelayDoesNotHandOn(t *testing.T) {
+func TestRelayUnavailable(t *testing.T) {
 	const far = 5
-	s, relay := relayed(t, far)
-	question := asks(s)[testRelay]
+	s, relay := newRelayedSearch(t, far)
+	question := sentQuestions(s)[testRelay]
 	handed := 0
 	for range 100 {
-		if relay.HandOn(testNow+14, worldAddress(1, 0), question) {
+		if relay.HandOn(testNow+14, testAddress(1, 0), question) {
 			handed++
 		}
 	}
@@ -97,9 +97,9 @@
 		t.Errorf("the relay has handed on %d of 100 questions at one moment", handed)
 	}
 	direct := map[netip.AddrPort]bool{}
-	for now := testNow + 20; now < testNow+askAgain+50; now += 10 {
+	for now := testNow + 20; now < testNow+initialRetryDelay+50; now += 10 {
 		s.Tick(now)
-		for to := range asks(s) {
+		for to := range sentQuestions(s) {
 			direct[to] = true
 		}
 	}
@@ -111,17 +111,17 @@
 // Anybody may answer: what an agent of another failure domain than the one that was asked
 // says of these flows does not count.
 func TestAnswerOfOtherDomain(t *testing.T) {
-	q := newQuestions(0, always)
+	q := newQuestions(0, alwaysSearching)
 	id := segment.Flow{Caller: testFlow.Caller, Listener: testFlow.Listener}
-	q.addAll(testNow, testRelay, "b", id, 7)
+	q.addRelayed(testNow, testRelay, "b", id, 7)
 	var out Outcome
 	q.flush(testNow+clock.Second, 0, &out)
 	number := out.Sends[0].Parcel.Number
-	if got := q.asked(number, worldAddress(2, 1), "c"); got != nil {
+	if got := q.answeredFlows(number, testAddress(2, 1), "c"); got != nil {
 		t.Errorf("an answer of another failure domain counts for %v", got)
 	}
 	for range 2 {
-		if got := q.asked(number, worldAddress(2, 1), "b"); len(got) != 1 {
+		if got := q.answeredFlows(number, testAddress(2, 1), "b"); len(got) != 1 {
 			t.Errorf("an answer counts for %v", got)
 		}
 	}
--- a/internal/connection/stream/hold.go
+++ b/internal/connection/stream/hold.go
@@ -210,7 +210,7 @@
 // giveBack returns a packet with a report, so that the balancer's next choice
 // knows better.
 func (h *Holder) giveBack(now clock.Millis, to netip.AddrPort, seg *segment.Segment, packet []byte, cause wire.Cause) {
-	h.out.note(Event{
+	h.out.record(Event{
 		Kind: Returned, Flow: seg.FromCaller(), Target: to, Service: h.settings.Service, Reason: cause.String(),
 		Age: now.Sub(h.upstream.seen),
 	})
@@ -277,7 +277,7 @@
 	}
 	if seg.Flags.Has(segment.Opens) {
 		if !f.accepted {
-			h.out.note(Event{Kind: Accepted, Flow: id, Target: f.from, Service: h.settings.Service, Age: now.Sub(f.opened)})
+			h.out.record(Event{Kind: Accepted, Flow: id, Target: f.from, Service: h.settings.Service, Age: now.Sub(f.opened)})
 		}
 		f.seq, f.accepted = seg.Seq, true
 		h.own(id, f)
@@ -300,7 +300,7 @@
 // A target that is just starting resets what it does not know, so a reset is no sign that
 // it holds the flow, which may be well elsewhere. If it does, its caller only waits longer.
 func (h *Holder) resetOfStranger(now clock.Millis, id segment.Flow, f *held) {
-	h.out.note(Event{
+	h.out.record(Event{
 		Kind: Returned, Flow: id, Service: h.settings.Service, Reason: "a reset of a flow that the target may not hold",
 		Age: now.Sub(h.started),
 	})
--- a/internal/connection/stream/look.go
+++ b/internal/connection/stream/look.go
@@ -60,7 +60,7 @@
 		u.unanswered++
 	}
 	if !before && u.down() && u.known {
-		h.out.note(Event{Kind: Upstream, Reason: "nobody listens", Service: h.settings.Service, Age: now.Sub(u.seen)})
+		h.out.record(Event{Kind: Upstream, Reason: "nobody listens", Service: h.settings.Service, Age: now.Sub(u.seen)})
 		h.resetBefore(now+1, "the target has crashed")
 	}
 }
--- a/internal/connection/stream/outcome.go
+++ b/internal/connection/stream/outcome.go
@@ -27,38 +27,38 @@
 }
 
 // Kind names a decision in logs and counters.
-type Kind string
+type EventKind string
 
 // Decisions about requests, and changes of beliefs.
 const (
-	Opened     Kind = "open"
-	Reopened   Kind = "reopen"
-	Took       Kind = "took"
-	Declined   Kind = "declined"
-	Refused    Kind = "refused"
-	NoTarget   Kind = "untargeted"
-	Unrouted   Kind = "unrouted"
-	Searched   Kind = "search"
-	Found      Kind = "found"
-	GaveUp     Kind = "unowned"
-	Unowned    Kind = "disowned"
-	Ended      Kind = "ended"
-	TargetNew  Kind = "target"
-	TargetLost Kind = "suspected"
-	TargetBack Kind = "recovered"
-	TargetGone Kind = "gone"
-	Upstream   Kind = "upstream"
-	Accepted   Kind = "accepted"
-	Returned   Kind = "returned"
-	Failed     Kind = "failed"
-	Restored   Kind = "restored"
-	Waits      Kind = "waits"
-	Evacuation Kind = "evacuation"
+	Opened          EventKind = "open"
+	Reopened        EventKind = "reopen"
+	OwnerConfirmed  EventKind = "took"
+	Declined        EventKind = "declined"
+	Refused         EventKind = "refused"
+	NoTarget        EventKind = "untargeted"
+	Unrouted        EventKind = "unrouted"
+	SearchStarted   EventKind = "search"
+	OwnerFound      EventKind = "found"
+	SearchFailed    EventKind = "unowned"
+	OwnerDenied     EventKind = "disowned"
+	FlowReset       EventKind = "ended"
+	TargetNew       EventKind = "target"
+	TargetSuspected EventKind = "suspected"
+	TargetRecovered EventKind = "recovered"
+	TargetGone      EventKind = "gone"
+	Upstream        EventKind = "upstream"
+	Accepted        EventKind = "accepted"
+	Returned        EventKind = "returned"
+	Failed          EventKind = "failed"
+	Restored        EventKind = "restored"
+	Queued          EventKind = "waits"
+	Evacuation      EventKind = "evacuation"
 )
 
 // Event is one decision with what decided it.
 type Event struct {
-	Kind    Kind
+	Kind    EventKind
 	Flow    segment.Flow
 	Target  netip.AddrPort
 	Name    string
@@ -80,14 +80,14 @@
 	// Answers are packets of the target for callers.
 	Answers [][]byte
 	// Served are the times from a request's first packet to its answer's.
-	Served []clock.Millis
-	Events []Event
+	Latencies []clock.Millis
+	Events    []Event
 }
 
 func (o *Outcome) send(to netip.AddrPort, p *wire.Parcel) {
 	o.Sends = append(o.Sends, Send{To: to, Parcel: p})
 }
 
-func (o *Outcome) note(e Event) {
+func (o *Outcome) record(e Event) {
 	o.Events = append(o.Events, e)
 }
--- a/internal/connection/stream/outlier_test.go
+++ b/internal/connection/stream/outlier_test.go
@@ -20,7 +20,7 @@
 func newFaulty(t *testing.T) *faulty {
 	f := &faulty{t: t, now: testNow, port: 1000}
 	f.holder = NewHolder(f.now, HolderSettings{
-		Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 1000, FlowLife: worldLife, Epoch: 1, Port: worldPort,
+		Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 1000, FlowLife: testFlowTTL, Epoch: 1, Port: simPort,
 	})
 	f.holder.Beat(f.now, Beat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
 	return f
@@ -53,7 +53,7 @@
 // ask opens a flow and sends a request, unless the agent returns the opening.
 func (f *faulty) ask() (netip.AddrPort, bool) {
 	f.port++
-	c := worldAddress(100, int(f.port))
+	c := testAddress(100, int(f.port))
 	f.holder.Take()
 	f.hear(c, wire.Verb_VERB_OPEN, segment.Segment{Flags: segment.Opens})
 	if len(f.holder.Take().Deliveries) == 0 {
@@ -66,13 +66,13 @@
 
 // hear brings a caller's packet to the agent.
 func (f *faulty) hear(c netip.AddrPort, verb wire.Verb, s segment.Segment) {
-	s.Source, s.Destination = c, worldListener
-	f.holder.Hear(f.now, worldAddress(1, 0), &wire.Parcel{Verb: verb, Service: "one", Packet: encode(s)}, &s)
+	s.Source, s.Destination = c, testListener
+	f.holder.Hear(f.now, testAddress(1, 0), &wire.Parcel{Verb: verb, Service: "one", Packet: encode(s)}, &s)
 }
 
 // send is a packet of the target.
 func (f *faulty) send(c netip.AddrPort, s segment.Segment) {
-	s.Source, s.Destination = worldListener, c
+	s.Source, s.Destination = testListener, c
 	f.holder.FromTarget(f.now, &s, encode(s))
 }
 
@@ -177,7 +177,7 @@
 // reset, as the protocol wants it: it is well.
 func TestResetOfEndedFlowIsNoFailure(t *testing.T) {
 	f := newFaulty(t)
-	c := worldAddress(100, 1)
+	c := testAddress(100, 1)
 	for range 10 {
 		f.send(c, segment.Segment{Flags: segment.Ends, Seq: 6})
 		f.hear(c, wire.Verb_VERB_CARRY, segment.Segment{Flags: segment.Acks, Ack: 6, Size: 200})
@@ -191,7 +191,7 @@
 // failing marks targets of loaded as ejected.
 func failing(ts *Targets, which ...int) {
 	for _, i := range which {
-		t, _ := ts.Find(worldAddress(2, i))
+		t, _ := ts.Find(testAddress(2, i))
 		t.Condition = wire.Condition_CONDITION_FAILING
 	}
 }
--- a/internal/connection/stream/owners.go
+++ b/internal/connection/stream/owners.go
@@ -8,7 +8,7 @@
 
 // inheritedFor is how long a flow is told on whose owner another balancer has told and
 // that has had no packet here: some pauses of callers between two requests.
-const inheritedFor = 5 * clock.Second
+const inheritedTTL = 5 * clock.Second
 
 // Owners returns the flows that this balancer knows the owners of, for the one
 // that takes its place: those that had packets here, and those inherited lately.
@@ -20,14 +20,14 @@
 	var all []*wire.Owner
 	for _, id := range s.flows.Keys() {
 		f, ok := s.flows.Peek(id)
-		life := s.settings.FlowLife
+		life := s.settings.FlowTTL
 		if ok && f.inherited {
-			life = inheritedFor
+			life = inheritedTTL
 		}
-		if !ok || f.ended || now.Sub(f.last) > life {
+		if !ok || f.ended || now.Sub(f.lastSeen) > life {
 			continue
 		}
-		taker, ok := f.owner.Taker()
+		taker, ok := f.owner.Confirmed()
 		if !ok {
 			continue
 		}
@@ -51,7 +51,7 @@
 		if err != nil || s.flows.Contains(id) {
 			continue
 		}
-		s.flows.Add(id, &flow{owner: takenBy(agent), service: o.Service, last: now, inherited: true})
+		s.flows.Add(id, &flow{owner: confirmedBy(agent), service: o.Service, lastSeen: now, inherited: true})
 		taken++
 	}
 	return taken
--- a/internal/connection/stream/ownership.go
+++ b/internal/connection/stream/ownership.go
@@ -11,7 +11,7 @@
 	// offered: the opening was sent to an agent that has not said that it took it.
 	offered
 	// taken: an agent has said that it took it.
-	taken
+	confirmed
 )
 
 // owner is who holds a flow, as far as a balancer knows. An unowned flow has no agent;
@@ -25,8 +25,8 @@
 	return owner{state: offered, agent: agent}
 }
 
-func takenBy(agent netip.AddrPort) owner {
-	return owner{state: taken, agent: agent}
+func confirmedBy(agent netip.AddrPort) owner {
+	return owner{state: confirmed, agent: agent}
 }
 
 // Agent returns the agent that took the flow or was offered it.
@@ -35,11 +35,11 @@
 }
 
 // Taker returns the agent that has said that it took the flow.
-func (o owner) Taker() (netip.AddrPort, bool) {
-	return o.agent, o.state == taken
+func (o owner) Confirmed() (netip.AddrPort, bool) {
+	return o.agent, o.state == confirmed
 }
 
 // is reports that the flow was taken by the agent or offered to it.
-func (o owner) is(agent netip.AddrPort) bool {
+func (o owner) isAgent(agent netip.AddrPort) bool {
 	return o.state != unowned && o.agent == agent
 }
--- a/internal/connection/stream/ownership_test.go
+++ b/internal/connection/stream/ownership_test.go
@@ -17,19 +17,19 @@
 		lose func(s *Steerer, now clock.Millis, packet []byte)
 	}{
 		{"the target has gone", func(s *Steerer, now clock.Millis, packet []byte) {
-			s.Hear(now, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: &wire.Report{
+			s.HandleParcel(now, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: &wire.Report{
 				Service: "one", Epoch: 1, Sequence: 2, Born: 1, Condition: wire.Condition_CONDITION_GONE,
 			}}, nil)
-			s.Arrive(now, decode(packet), packet)
+			s.HandlePacket(now, decode(packet), packet)
 		}},
 		{"the packet was returned", func(s *Steerer, now clock.Millis, packet []byte) {
-			s.Hear(now, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_RETURN, Packet: packet}, decode(packet))
+			s.HandleParcel(now, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_RETURN, Packet: packet}, decode(packet))
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, packet := searching(t, 1, mostAsked/leastSearches)
-			s.flows.Resize(mostSearches)
-			answer(s, testNow+1, 0, wire.Holding_HOLDING_OWNED)
+			s, packet := newSearchingSteerer(t, 1, maxSearchAnswers/minSearches)
+			s.flows.Resize(maxSearches)
+			sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_OWNED)
 			if got := s.Owners(testNow + 1); len(got) != 1 {
 				t.Fatalf("%d owners are known, want one", len(got))
 			}
@@ -46,18 +46,18 @@
 // A failure domain's balancers are restarted in turn. Each tells a starting one what had
 // packets here, and what it was told itself a moment ago; not every flow that any of them
 // ever knew, nor those that have ended.
-func TestOwnersAreToldOnce(t *testing.T) {
-	s, packet := searching(t, 1, 0)
-	answer(s, testNow+1, 0, wire.Holding_HOLDING_OWNED)
-	other := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
+func TestOwnersAreSentOnce(t *testing.T) {
+	s, packet := newSearchingSteerer(t, 1, 0)
+	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_OWNED)
+	other := NewSteerer(0, Settings{Domain: "a", MaxFlows: 100, FlowTTL: testFlowTTL})
 	later := testNow + clock.Second
 	if got := other.Inherit(later, s.Owners(later)); got != 1 {
 		t.Fatalf("%d flows inherited", got)
 	}
-	if got := len(other.Owners(later + inheritedFor)); got != 1 {
+	if got := len(other.Owners(later + inheritedTTL)); got != 1 {
 		t.Errorf("%d flows told on that were inherited a moment ago", got)
 	}
-	later += inheritedFor + 1
+	later += inheritedTTL + 1
 	if got := len(other.Owners(later)); got != 0 {
 		t.Errorf("%d flows told on that never had a packet there", got)
 	}
@@ -67,20 +67,20 @@
 	end := encode(segment.Segment{
 		Source: testFlow.Caller, Destination: testFlow.Listener, Flags: segment.Ends | segment.Acks, Ack: 9,
 	})
-	s.Arrive(later, decode(end), end)
+	s.HandlePacket(later, decode(end), end)
 	if got := len(s.Owners(later)); got != 0 {
 		t.Errorf("%d flows told that their callers have ended", got)
 	}
-	s.Arrive(later, decode(packet), packet)
+	s.HandlePacket(later, decode(packet), packet)
 }
 
 // fillSearches begins as many searches as there may be.
 func fillSearches(s *Steerer, now clock.Millis) {
-	for i := range s.room() {
+	for i := range s.searchLimit() {
 		packet := encode(segment.Segment{
-			Source: worldAddress(100, i), Destination: worldListener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100,
+			Source: testAddress(100, i), Destination: testListener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100,
 		})
-		s.Arrive(now, decode(packet), packet)
+		s.HandlePacket(now, decode(packet), packet)
 		s.Take()
 	}
 }
--- a/internal/connection/stream/packets.go
+++ b/internal/connection/stream/packets.go
@@ -7,22 +7,22 @@
 
 // retain keeps a packet, unless it is there already: callers send again what is not
 // answered.
-func (s *Steerer) retain(x *search, packet []byte) {
+func (s *Steerer) bufferPacket(x *search, packet []byte) {
 	known := slices.ContainsFunc(x.packets, func(p []byte) bool { return bytes.Equal(p, packet) })
-	if known || len(x.packets) >= mostKept || s.kept+len(packet) > mostKeptBytes {
+	if known || len(x.packets) >= maxSearchPackets || s.bufferedBytes+len(packet) > maxBufferedBytes {
 		return
 	}
 	x.packets = append(x.packets, slices.Clone(packet))
-	x.kept += len(packet)
-	s.kept += len(packet)
+	x.bufferedBytes += len(packet)
+	s.bufferedBytes += len(packet)
 }
 
 // drop takes the searches that have ended off the list, with what they kept.
-func (s *Steerer) drop() {
+func (s *Steerer) removeEnded() {
 	s.searches = slices.DeleteFunc(s.searches, func(x *search) bool {
-		if x.over {
-			s.kept -= x.kept
+		if x.ended {
+			s.bufferedBytes -= x.bufferedBytes
 		}
-		return x.over
+		return x.ended
 	})
 }
--- a/internal/connection/stream/parcels_test.go
+++ b/internal/connection/stream/parcels_test.go
@@ -20,7 +20,7 @@
 type surprise struct{ *rand.Rand }
 
 func (r surprise) flow() segment.Flow {
-	return segment.Flow{Caller: worldAddress(100, r.IntN(200)), Listener: worldListener}
+	return segment.Flow{Caller: testAddress(100, r.IntN(200)), Listener: testListener}
 }
 
 func (r surprise) bytes(b []byte) []byte {
@@ -31,7 +31,7 @@
 }
 
 func (r surprise) address() []byte {
-	return r.bytes(segment.AppendAddress(nil, worldAddress(2, r.IntN(60))))
+	return r.bytes(segment.AppendAddress(nil, testAddress(2, r.IntN(60))))
 }
 
 func (r surprise) report() *wire.Report {
@@ -106,14 +106,14 @@
 func TestSurprisesAtSteerer(t *testing.T) {
 	for seed := range uint64(surpriseSeeds) {
 		r := surprise{rand.New(rand.NewPCG(seed, 7))}
-		s, _ := searching(t, 20, 20)
+		s, _ := newSearchingSteerer(t, 20, 20)
 		s.settings.Domain = "a"
 		s.flows.Resize(100 + r.IntN(200))
 		s.SetRelay(seed%2 == 0)
 		s.SetSettled(seed%3 == 0)
 		if seed%4 == 0 {
-			for i := range mostAsked / leastSearches {
-				s.Targets.Learn(testNow, worldAddress(3, i), "t", "b", "one")
+			for i := range maxSearchAnswers / minSearches {
+				s.Targets.Learn(testNow, testAddress(3, i), "t", "b", "one")
 			}
 			fillSearches(s, testNow)
 		}
@@ -124,7 +124,7 @@
 			switch r.IntN(10) {
 			case 0:
 				packet := r.segment()
-				s.Arrive(now, packet, encode(*packet))
+				s.HandlePacket(now, packet, encode(*packet))
 			case 1:
 				s.Tick(now)
 				s.Summary(now, 1, 1, true)
@@ -134,15 +134,15 @@
 			case 3:
 				s.HearSummary(now, r.summary())
 			default:
-				s.Hear(now, worldAddress(2, r.IntN(60)), p, seg)
+				s.HandleParcel(now, testAddress(2, r.IntN(60)), p, seg)
 			}
 			for _, send := range s.Take().Sends {
 				if !send.To.IsValid() {
 					t.Fatalf("seed %d: a parcel of verb %s for nobody", seed, send.Parcel.Verb)
 				}
 			}
-			if len(s.searches) > s.room()+1 || len(s.waiting) > mostWaiting || len(s.news) > mostNews {
-				t.Fatalf("seed %d: %d searches, %d openings that wait, %d news", seed, len(s.searches), len(s.waiting), len(s.news))
+			if len(s.searches) > s.searchLimit()+1 || len(s.queued) > maxQueued || len(s.changes) > mostNews {
+				t.Fatalf("seed %d: %d searches, %d openings that wait, %d news", seed, len(s.searches), len(s.queued), len(s.changes))
 			}
 		}
 	}
@@ -153,8 +153,8 @@
 	for seed := range uint64(surpriseSeeds) {
 		r := surprise{rand.New(rand.NewPCG(seed, 8))}
 		h := NewHolder(testNow, HolderSettings{
-			Name: "t", Domain: "a", Service: "one", Epoch: 1, Port: worldPort, Flows: 50, FlowLife: worldLife,
-			Heartbeat: worldBeat, SilentAfter: 3 * worldBeat, Checkpoint: seed%2 == 0,
+			Name: "t", Domain: "a", Service: "one", Epoch: 1, Port: simPort, Flows: 50, FlowLife: testFlowTTL,
+			Heartbeat: simHeartbeat, SilentAfter: 3 * simHeartbeat, Checkpoint: seed%2 == 0,
 		})
 		now := testNow
 		for range surpriseSteps {
@@ -180,7 +180,7 @@
 					h.Leave(now)
 				}
 			default:
-				h.Hear(now, worldAddress(1, r.IntN(5)), p, seg)
+				h.Hear(now, testAddress(1, r.IntN(5)), p, seg)
 			}
 			for _, send := range h.Take().Sends {
 				if !send.To.IsValid() {
--- a/internal/connection/stream/report.go
+++ b/internal/connection/stream/report.go
@@ -45,7 +45,7 @@
 	if full {
 		reason = "the target is full and reset it"
 	}
-	h.out.note(Event{
+	h.out.record(Event{
 		Kind: Failed, Flow: id, Target: f.from, Service: h.settings.Service, Reason: reason, Age: now.Sub(f.busy),
 		Count: working,
 	})
@@ -56,7 +56,7 @@
 
 // served takes note of how long a request took.
 func (h *Holder) served(took clock.Millis) {
-	h.out.Served = append(h.out.Served, took)
+	h.out.Latencies = append(h.out.Latencies, took)
 	if h.serving == 0 {
 		h.serving = float64(took)
 		return
@@ -66,7 +66,7 @@
 
 // noteCondition notes that the agent's belief about its target has changed.
 func (h *Holder) noteCondition(now clock.Millis, why string) {
-	h.out.note(Event{
+	h.out.record(Event{
 		Kind: Upstream, Service: h.settings.Service, Reason: h.condition(now).String() + ", " + why,
 		Count: int(h.upstream.sequence), Age: now.Sub(h.upstream.beat),
 	})
@@ -118,7 +118,7 @@
 		reason = "no longer evacuated"
 		h.upstream.coldUntil = max(h.upstream.coldUntil, now+h.settings.Heartbeat+beatSlack)
 	}
-	h.out.note(Event{Kind: Evacuation, Service: h.settings.Service, Reason: reason, Version: h.gate.Revision})
+	h.out.record(Event{Kind: Evacuation, Service: h.settings.Service, Reason: reason, Version: h.gate.Revision})
 }
 
 // Tell reports to the balancers without being asked.
--- a/internal/connection/stream/restore.go
+++ b/internal/connection/stream/restore.go
@@ -119,13 +119,13 @@
 		h.flows.Remove(l.ID)
 		h.denied.Add(l.ID, struct{}{})
 		h.out.Resets = append(h.out.Resets, Reset{Flow: l.ID, Seq: l.Ack})
-		h.out.note(Event{
-			Kind: Ended, Flow: l.ID, Service: h.settings.Service, Reason: "its target was lost with the earlier agent",
+		h.out.record(Event{
+			Kind: FlowReset, Flow: l.ID, Service: h.settings.Service, Reason: "its target was lost with the earlier agent",
 			Age: now.Sub(h.started),
 		})
 	}
 }
 
 func (h *Holder) noteRestored(reason string, count int) {
-	h.out.note(Event{Kind: Restored, Service: h.settings.Service, Reason: reason, Count: count})
+	h.out.record(Event{Kind: Restored, Service: h.settings.Service, Reason: reason, Count: count})
 }
--- a/internal/connection/stream/restore_test.go
+++ b/internal/connection/stream/restore_test.go
@@ -15,7 +15,7 @@
 func callerFlow(i int) segment.Flow {
 	return segment.Flow{
 		Caller:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(i >> 8), byte(i)}), 1025),
-		Listener: worldListener,
+		Listener: testListener,
 	}
 }
 
@@ -31,8 +31,8 @@
 // returning is an agent that has just started.
 func returning() *Holder {
 	return NewHolder(testNow, HolderSettings{
-		Service: "one", Heartbeat: worldBeat, SilentAfter: 3 * worldBeat, Flows: 1000, FlowLife: worldLife, Epoch: 10,
-		Port: worldPort, Checkpoint: true,
+		Service: "one", Heartbeat: simHeartbeat, SilentAfter: 3 * simHeartbeat, Flows: 1000, FlowLife: testFlowTTL, Epoch: 10,
+		Port: simPort, Checkpoint: true,
 	})
 }
 
@@ -40,11 +40,11 @@
 func serve(h *Holder, at clock.Millis, i int) {
 	id := callerFlow(i)
 	s := segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens}
-	h.Hear(at, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: encode(s)}, &s)
+	h.Hear(at, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: encode(s)}, &s)
 	answer := segment.Segment{Source: id.Listener, Destination: id.Caller, Flags: segment.Opens | segment.Acks, Seq: 999}
 	h.FromTarget(at+1, &answer, encode(answer))
 	data := segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Ack: 1000}
-	h.Hear(at+2, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(data)}, &data)
+	h.Hear(at+2, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(data)}, &data)
 }
 
 func beat(h *Holder, now clock.Millis, born, sequence uint64) {
@@ -99,8 +99,8 @@
 func TestFlowOpenedAgainIsNotReset(t *testing.T) {
 	h := returning()
 	beat(h, testNow+5, 900, 1)
-	s := segment.Segment{Source: callerFlow(1).Caller, Destination: worldListener, Flags: segment.Opens}
-	h.Hear(testNow+10, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: encode(s)}, &s)
+	s := segment.Segment{Source: callerFlow(1).Caller, Destination: testListener, Flags: segment.Opens}
+	h.Hear(testNow+10, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: encode(s)}, &s)
 	h.Take()
 	h.Restore(testNow+20, testWall, left(3))
 	for _, r := range h.Take().Resets {
@@ -158,7 +158,7 @@
 	serve(h, testNow+6, 9)
 	beat(h, testNow+1200, 500, 81)
 	sent := func(now clock.Millis) int {
-		h.Hear(now, worldAddress(1, 0), probe, nil)
+		h.Hear(now, testAddress(1, 0), probe, nil)
 		h.Take()
 		h.Tick(now)
 		parts := 0
@@ -182,7 +182,7 @@
 	if sent(testNow+2600) != 1 {
 		t.Error("an entry is not sent again although nobody has said that it is kept")
 	}
-	h.Hear(testNow+2650, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: 2}}, nil)
+	h.Hear(testNow+2650, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: 2}}, nil)
 	if sent(testNow+4000) != 0 {
 		t.Error("an entry is sent again although it is kept")
 	}
@@ -196,7 +196,7 @@
 	beat(h, testNow+5, 900, 70)
 	serve(h, testNow+6, 9)
 	h.upstream.beat = testNow + 10
-	h.Hear(testNow+20, worldAddress(1, 0), &wire.Parcel{
+	h.Hear(testNow+20, testAddress(1, 0), &wire.Parcel{
 		Verb: wire.Verb_VERB_PROBE, Report: &wire.Report{Probe: 1, Keeper: true},
 	}, nil)
 	h.Take()
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -27,7 +27,7 @@
 	return true
 }
 
-func (w *world) object(domain string) *worldObject {
+func (w *simulation) object(domain string) *worldObject {
 	o := w.objects[domain]
 	if o == nil {
 		o = &worldObject{}
@@ -36,7 +36,7 @@
 	return o
 }
 
-func (w *world) sheet(data []byte) *checkpoint.Sheet {
+func (w *simulation) sheet(data []byte) *checkpoint.Sheet {
 	if data == nil {
 		return &checkpoint.Sheet{Shards: 1}
 	}
@@ -48,13 +48,13 @@
 }
 
 // restores lets an agent read what is kept, now and then late or from an old copy.
-func (w *world) restores(a *worldAgent) {
+func (w *simulation) restores(a *simAgent) {
 	h := a.holder
 	delay := clock.Millis(2 + w.random.IntN(60))
 	if w.random.IntN(5) == 0 {
 		delay = clock.Millis(w.random.IntN(4000))
 	}
-	w.after(delay, func() {
+	w.schedule(delay, func() {
 		if a.holder != h || !a.up {
 			return
 		}
@@ -74,9 +74,9 @@
 
 // keeps lets a balancer keep the checkpoints of its failure domain while it is the
 // first one there. Two may think so for a moment.
-func (w *world) keeps(b *worldBalancer) {
+func (w *simulation) keeps(b *simBalancer) {
 	s := b.steerer
-	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: 1 << 20, Life: worldLife, Writes: 10})
+	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: 1 << 20, Life: testFlowTTL, Writes: 10})
 	b.keeper = k
 	seen, loaded := 0, false
 	var tick func()
@@ -97,12 +97,12 @@
 			loaded = false
 		}
 		s.SetKeeper(loaded)
-		w.after(100, tick)
+		w.schedule(100, tick)
 	}
-	w.after(clock.Millis(1+w.random.IntN(100)), tick)
+	w.schedule(clock.Millis(1+w.random.IntN(100)), tick)
 }
 
-func (w *world) first(domain string) *worldBalancer {
+func (w *simulation) first(domain string) *simBalancer {
 	for _, b := range w.balancers {
 		if b.up && b.domain == domain {
 			return b
@@ -113,7 +113,7 @@
 
 // writes writes what is due and returns the revision that the balancer knows then. A
 // write may be carried out seconds later, and its answer may be lost.
-func (w *world) writes(b *worldBalancer, k *checkpoint.Keeper, seen int) int {
+func (w *simulation) writes(b *simBalancer, k *checkpoint.Keeper, seen int) int {
 	o := w.object(b.domain)
 	for _, sheet := range k.Due(w.now) {
 		data, err := json.Marshal(sheet)
@@ -123,7 +123,7 @@
 		known := seen
 		switch {
 		case w.random.IntN(8) == 0:
-			w.after(clock.Millis(w.random.IntN(5000)), func() { o.write(known, data) })
+			w.schedule(clock.Millis(w.random.IntN(5000)), func() { o.write(known, data) })
 			k.Failed(sheet.Shard)
 		case o.write(seen, data):
 			seen = o.revision
@@ -138,16 +138,16 @@
 	return seen
 }
 
-func (w *world) acknowledge(b *worldBalancer, all []checkpoint.Acknowledgement) {
+func (w *simulation) acknowledge(b *simBalancer, all []checkpoint.Acknowledgement) {
 	for _, a := range all {
-		w.sendAgent(b, Send{To: a.Agent, Parcel: &wire.Parcel{
+		w.sendFromBalancer(b, Send{To: a.Agent, Parcel: &wire.Parcel{
 			Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: a.Number, Pause: uint32(a.Pause)},
 		}})
 	}
 }
 
 // hearKeep gives a balancer a part of an agent's checkpoint.
-func (w *world) hearKeep(b *worldBalancer, from netip.AddrPort, c *wire.Checkpoint) {
+func (w *simulation) hearKeep(b *simBalancer, from netip.AddrPort, c *wire.Checkpoint) {
 	if !b.steerer.Keeper() {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // power takes all VMs away at once; callers stay.
-func (w *world) power() {
+func (w *simulation) power() {
 	for _, b := range w.balancers {
 		w.killBalancer(b)
 	}
--- a/internal/connection/stream/summary.go
+++ b/internal/connection/stream/summary.go
@@ -211,15 +211,15 @@
 func (s *Steerer) SetRelay(relay bool) {
 	s.relay = relay
 	if !relay {
-		s.news = nil
+		s.changes = nil
 	}
 }
 
 // spread keeps a change of a target of the own failure domain for the next summary of
 // changes.
 func (s *Steerer) spread(e *wire.Entry) {
-	if s.relay && len(s.news) < mostNews {
-		s.news = append(s.news, e)
+	if s.relay && len(s.changes) < mostNews {
+		s.changes = append(s.changes, e)
 	}
 }
 
@@ -243,7 +243,7 @@
 // HasNews reports that a target of the own failure domain has changed in a way that
 // balancers elsewhere are to be told at once.
 func (s *Steerer) HasNews() bool {
-	return len(s.news) > 0
+	return len(s.changes) > 0
 }
 
 // News returns these targets in summaries of changes. With loads they tell of those whose
@@ -252,11 +252,11 @@
 	if loads {
 		s.noteLoads(now)
 	}
-	if len(s.news) == 0 {
+	if len(s.changes) == 0 {
 		return nil
 	}
-	entries := s.news
-	s.news = nil
+	entries := s.changes
+	s.changes = nil
 	unname(entries)
 	return s.parts(entries)
 }
@@ -270,7 +270,7 @@
 // Summary returns all targets of the own failure domain. number counts such summaries,
 // and complete tells that this balancer knows all targets there.
 func (s *Steerer) Summary(now clock.Millis, epoch uint64, number uint32, complete bool) []*wire.Summary {
-	s.news = nil
+	s.changes = nil
 	entries := s.Targets.summarize(now)
 	if number%namedEvery != 1 {
 		unname(entries)
@@ -322,7 +322,7 @@
 		}
 		r := e.Report
 		r.Domain, r.Probe = m.Domain, 0
-		s.changed(now, a, r, s.Targets.Summarized(now, a, r, clock.Millis(e.Age), clock.Millis(e.Silent)))
+		s.recordChange(now, a, r, s.Targets.Summarized(now, a, r, clock.Millis(e.Age), clock.Millis(e.Silent)))
 	}
 	s.Targets.arrived(now, m)
 }
--- a/internal/connection/stream/summary_test.go
+++ b/internal/connection/stream/summary_test.go
@@ -12,7 +12,7 @@
 // summarized is a balancer of failure domain a that knows targets of b by summaries.
 func summarized(t *testing.T, targets int) *Steerer {
 	t.Helper()
-	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
+	s := NewSteerer(0, Settings{Domain: "a", MaxFlows: 100, FlowTTL: testFlowTTL})
 	for i := range targets {
 		s.HearSummary(testNow, changeOf(i, ready(1, 1), 0))
 	}
@@ -28,7 +28,7 @@
 
 func changeOf(target int, r *wire.Report, silent clock.Millis) *wire.Summary {
 	r.Name = fmt.Sprint("t", target)
-	return &wire.Summary{Domain: "b", Entries: []*wire.Entry{entry(worldAddress(2, target), r, 0, silent)}}
+	return &wire.Summary{Domain: "b", Entries: []*wire.Entry{entry(testAddress(2, target), r, 0, silent)}}
 }
 
 // probes counts the probes that a balancer sends in a span, by target.
@@ -37,7 +37,7 @@
 	for now := from; now < to; now += 50 {
 		each(now)
 		s.Tick(now)
-		for a, n := range sent(s)[wire.Verb_VERB_PROBE] {
+		for a, n := range countSends(s)[wire.Verb_VERB_PROBE] {
 			all[a] += n
 		}
 	}
@@ -72,7 +72,7 @@
 func TestSummaryDoubts(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		s := summarized(t, 2)
-		at := worldAddress(2, 0)
+		at := testAddress(2, 0)
 		s.HearSummary(testNow+100, changeOf(0, ready(1, 1), 400))
 		target, _ := s.Targets.Find(at)
 		if !target.Suspected(testNow+100) || target.Lost(testNow+100) {
@@ -85,7 +85,7 @@
 			if answers && target.probe != 0 {
 				r := ready(1, uint64(now))
 				r.Domain, r.Probe = "b", target.probe
-				s.Hear(now, at, &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+				s.HandleParcel(now, at, &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 			}
 		})
 		if target.Lost(end) == answers || target.Suspected(end) == answers {
@@ -125,7 +125,7 @@
 			for _, r := range c.heard {
 				s.HearSummary(testNow+1, changeOf(0, r, 0))
 			}
-			target, known := s.Targets.Find(worldAddress(2, 0))
+			target, known := s.Targets.Find(testAddress(2, 0))
 			if known != c.known || known && target.Opens(testNow+2) != c.opens {
 				t.Errorf("known %v, want %v; the target is %+v", known, c.known, target)
 			}
@@ -138,7 +138,7 @@
 // same, and until then the balancer must not take itself to know all that others name.
 func TestAddressReusedAfterClockStep(t *testing.T) {
 	s := summarized(t, 1)
-	at := worldAddress(2, 0)
+	at := testAddress(2, 0)
 	gone := ready(9, 5)
 	gone.Condition = wire.Condition_CONDITION_GONE
 	s.HearSummary(testNow, changeOf(0, gone, 0))
@@ -178,12 +178,12 @@
 // A target drains, falls silent or leaves: the relay has a summary for other failure
 // domains at once, and names the one that has left for as long as summaries may be lost.
 func TestRelayTellsChanges(t *testing.T) {
-	s := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
+	s := NewSteerer(0, Settings{Domain: "b", MaxFlows: 100, FlowTTL: testFlowTTL})
 	s.SetRelay(true)
 	report := func(now clock.Millis, sequence uint64, condition wire.Condition) {
 		r := ready(1, sequence)
 		r.Domain, r.Condition = "b", condition
-		s.Hear(now, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		s.HandleParcel(now, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	want := func(condition wire.Condition, silent bool) {
 		t.Helper()
@@ -222,12 +222,12 @@
 // A target's slots are in use, and the flows of another failure domain leave it. Balancers
 // there hear of it with the next summary of changes, and once more when there is room.
 func TestRelayTellsLoads(t *testing.T) {
-	s := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
+	s := NewSteerer(0, Settings{Domain: "b", MaxFlows: 100, FlowTTL: testFlowTTL})
 	s.SetRelay(true)
 	report := func(sequence uint64, busy uint32) {
 		r := ready(1, sequence)
 		r.Domain, r.Busy = "b", busy*busyScale
-		s.Hear(testNow, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		s.HandleParcel(testNow, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	report(1, 0)
 	s.News(testNow, true)
@@ -244,11 +244,11 @@
 
 // Names are in one of four summaries, and what is known stays.
 func TestSummaryKeepsNames(t *testing.T) {
-	relay := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
+	relay := NewSteerer(0, Settings{Domain: "b", MaxFlows: 100, FlowTTL: testFlowTTL})
 	r := ready(1, 1)
 	r.Domain, r.Name = "b", "t0"
-	relay.Hear(testNow, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
-	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
+	relay.HandleParcel(testNow, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+	s := NewSteerer(0, Settings{Domain: "a", MaxFlows: 100, FlowTTL: testFlowTTL})
 	named := 0
 	for number := range uint32(8) {
 		part := relay.Summary(testNow, 1, number+1, true)[0]
@@ -256,7 +256,7 @@
 			named++
 		}
 		s.HearSummary(testNow, part)
-		if target, _ := s.Targets.Find(worldAddress(2, 0)); target.Name != "t0" {
+		if target, _ := s.Targets.Find(testAddress(2, 0)); target.Name != "t0" {
 			t.Errorf("after summary %d the target is called %q", number+1, target.Name)
 		}
 	}
@@ -269,14 +269,14 @@
 // all of them is lost. The receiver must not believe that it knows all.
 func TestCompleteNeedsAllParts(t *testing.T) {
 	const targets = 470
-	relay := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
+	relay := NewSteerer(0, Settings{Domain: "b", MaxFlows: 100, FlowTTL: testFlowTTL})
 	for i := range targets {
 		r := ready(1, 1)
 		r.Name, r.Domain = fmt.Sprintf("side-place-b-%d", i), "b"
-		relay.Hear(testNow, worldAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
+		relay.HandleParcel(testNow, testAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	const frame = 1400
-	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
+	s := NewSteerer(0, Settings{Domain: "a", MaxFlows: 100, FlowTTL: testFlowTTL})
 	for number, lost := range []int{3, -1} {
 		for i, part := range relay.Summary(testNow, 1, uint32(number+1), true) {
 			if size := (&wire.Parcel{Verb: wire.Verb_VERB_SUMMARY, Summary: part}).SizeVT(); size > frame {
@@ -306,8 +306,8 @@
 	}
 	s.HearSummary(testNow+10, changeOf(0, ready(1, 2), 0))
 	each := flowLoad{open: 0.1, fresh: 0.1}
-	first, _ := table.Find(worldAddress(2, 0))
-	second, _ := table.Find(worldAddress(2, 1))
+	first, _ := table.Find(testAddress(2, 0))
+	second, _ := table.Find(testAddress(2, 1))
 	if a, b := table.cost(testNow+10, first, each), table.cost(testNow+10, second, each); a < b {
 		t.Errorf("the target just told of costs %.2f, the other one %.2f, with as many flows placed", a, b)
 	}
@@ -319,7 +319,7 @@
 
 // Anybody may send summaries, of ever new failure domains and in ever more parts.
 func TestSummariesAreBounded(t *testing.T) {
-	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
+	s := NewSteerer(0, Settings{Domain: "a", MaxFlows: 100, FlowTTL: testFlowTTL})
 	for i := range 3 * mostSummaries {
 		s.HearSummary(testNow, &wire.Summary{Domain: fmt.Sprint("d", i), Number: 1, Parts: 1})
 	}
--- a/internal/connection/stream/trace_test.go
+++ b/internal/connection/stream/trace_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return
 	}
-	w := faultyWorld(t, uint64(seed))
+	w := newFaultySimulation(t, uint64(seed))
 	w.trace = func(who string, events []Event) {
 		for _, e := range events {
 			fmt.Printf("%8.3f %-16s %-10s %v %v %s %s %d\n",
--- a/internal/connection/stream/upstream.go
+++ b/internal/connection/stream/upstream.go
@@ -109,7 +109,7 @@
 		if !h.complete {
 			reason += ", its earlier flows are not known"
 		}
-		h.out.note(Event{Kind: Upstream, Reason: reason, Service: h.settings.Service, Count: int(b.Sequence), Age: b.Age})
+		h.out.record(Event{Kind: Upstream, Reason: reason, Service: h.settings.Service, Count: int(b.Sequence), Age: b.Age})
 	}
 }
 
@@ -142,7 +142,7 @@
 // Leave notes that the target has said that it ends. Its flows end with it.
 func (h *Holder) Leave(now clock.Millis) {
 	h.upstream.gone = true
-	h.out.note(Event{Kind: Upstream, Reason: "left", Service: h.settings.Service, Age: now.Sub(h.upstream.beat)})
+	h.out.record(Event{Kind: Upstream, Reason: "left", Service: h.settings.Service, Age: now.Sub(h.upstream.beat)})
 }
 
 // Stop tells the callers of flows whose target has ended. It must only be called
@@ -180,7 +180,7 @@
 		}
 	}
 	if ended > 0 {
-		h.out.note(Event{Kind: Ended, Service: h.settings.Service, Reason: reason, Count: ended})
+		h.out.record(Event{Kind: FlowReset, Service: h.settings.Service, Reason: reason, Count: ended})
 	}
 }
 
--- a/internal/connection/stream/world_test.go
+++ b/internal/connection/stream/world_test.go
@@ -21,60 +21,60 @@
 // flows, and an oracle that knows everything. It has its own time.
 
 const (
-	worldPort   = 7000
-	worldLife   = 60 * clock.Second
-	worldBeat   = 1200 * clock.Millis(1)
-	worldCalm   = 4 * clock.Second
-	worldDelay  = 6
-	worldFar    = 2
-	worldCopies = 3
-	worldTwice  = 0.01
-	worldLate   = 400
+	simPort           = 7000
+	testFlowTTL       = 60 * clock.Second
+	simHeartbeat      = 1200 * clock.Millis(1)
+	simRecoveryTime   = 4 * clock.Second
+	simMaxDelay       = 6
+	simResetDelay     = 2
+	simOpeningCopies  = 3
+	simDuplicateRate  = 0.01
+	simDuplicateDelay = 400
 	// worldSummary is the pause between two summaries of all targets.
-	worldSummary = 500 * clock.Millis(1)
+	simSummaryInterval = 500 * clock.Millis(1)
 	// worldRequest is the size of a request.
-	worldRequest = 200
+	simRequestSize = 200
 )
 
 // moment is one event of the world.
-type moment struct {
-	at    clock.Millis
-	order int
-	do    func()
+type simEvent struct {
+	at     clock.Millis
+	order  int
+	action func()
 }
 
-type moments []moment
+type eventQueue []simEvent
 
-func (m moments) Len() int      { return len(m) }
-func (m moments) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m moments) Less(i, j int) bool {
+func (m eventQueue) Len() int      { return len(m) }
+func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m eventQueue) Less(i, j int) bool {
 	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].order < m[j].order
 }
-func (m *moments) Push(x any) { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
+func (m *eventQueue) Push(x any) { *m = append(*m, x.(simEvent)) }
+func (m *eventQueue) Pop() any {
 	old := *m
 	last := old[len(old)-1]
 	*m = old[:len(old)-1]
 	return last
 }
 
-type world struct {
-	t       testing.TB
-	random  *rand.Rand
-	now     clock.Millis
-	order   int
-	queue   moments
-	loss    float64
-	table   *routing.Table
-	allowed map[string]bool
+type simulation struct {
+	t        testing.TB
+	random   *rand.Rand
+	now      clock.Millis
+	sequence int
+	queue    eventQueue
+	loss     float64
+	table    *routing.Table
+	allowed  map[string]bool
 	// orders are all snapshots of evacuations so far, and evacuated since when failure
 	// domains are.
-	orders    []evacuation.Snapshot
+	snapshots []evacuation.Snapshot
 	evacuated map[string]clock.Millis
-	balancers []*worldBalancer
-	agents    []*worldAgent
-	callers   []*worldCaller
-	cut       map[[2]netip.AddrPort]bool
+	balancers []*simBalancer
+	agents    []*simAgent
+	callers   []*simCaller
+	blocked   map[[2]netip.AddrPort]bool
 	served    int
 	failures  []string
 	// objects are the sheets of checkpoints, by failure domain.
@@ -83,86 +83,86 @@
 	trace func(who string, events []Event)
 }
 
-func (w *world) note(who netip.AddrPort, events []Event) {
+func (w *simulation) traceEvents(who netip.AddrPort, events []Event) {
 	if w.trace != nil && len(events) > 0 {
 		w.trace(who.String(), events)
 	}
 }
 
-type worldBalancer struct {
-	address netip.AddrPort
-	domain  string
-	steerer *Steerer
-	keeper  *checkpoint.Keeper
-	up      bool
-	born    clock.Millis
-	knows   clock.Millis
+type simBalancer struct {
+	address       netip.AddrPort
+	domain        string
+	steerer       *Steerer
+	keeper        *checkpoint.Keeper
+	up            bool
+	born          clock.Millis
+	knowsAllSince clock.Millis
 	// told is when the last summary of all targets was sent, and number its number.
-	told   clock.Millis
-	number uint32
-	troubled
+	summarizedAt  clock.Millis
+	summaryNumber uint32
+	faultWindow
 }
 
 // troubled is until when something had an unplanned fault.
-type troubled struct{ last clock.Millis }
+type faultWindow struct{ end clock.Millis }
 
-func (t *troubled) until(end clock.Millis) { t.last = max(t.last, end) }
+func (t *faultWindow) extend(end clock.Millis) { t.end = max(t.end, end) }
 
-type worldAgent struct {
+type simAgent struct {
 	address netip.AddrPort
 	domain  string
 	service string
 	holder  *Holder
 	epoch   uint64
 	up      bool
-	target  *worldTarget
-	troubled
+	target  *simTarget
+	faultWindow
 }
 
 // worldTarget is one incarnation of a target.
-type worldTarget struct {
-	born     uint64
-	sequence uint64
-	alive    bool
-	draining bool
-	acked    clock.Millis
+type simTarget struct {
+	born         uint64
+	sequence     uint64
+	alive        bool
+	draining     bool
+	drainAckedAt clock.Millis
 	// faulty is until when requests fail: they are reset, or with mute not answered.
-	faulty clock.Millis
-	mute   bool
-	flows  map[segment.Flow]*worldEnd
+	failsUntil   clock.Millis
+	unresponsive bool
+	flows        map[segment.Flow]*simEndpoint
 }
 
 // worldEnd is a flow at its target.
-type worldEnd struct {
+type simEndpoint struct {
 	seq  uint32
 	open bool
 }
 
 // worldCaller keeps one flow and sends a request on it now and then.
-type worldCaller struct {
-	flow     segment.Flow
-	openedAt *worldTarget
-	owner    *worldAgent
-	seq      uint32
-	sent     uint32
-	began    clock.Millis
-	asked    clock.Millis
-	copies   int
-	waiting  bool
-	port     uint16
-	ip       netip.Addr
+type simCaller struct {
+	flow           segment.Flow
+	target         *simTarget
+	agent          *simAgent
+	seq            uint32
+	nextSeq        uint32
+	flowOpenedAt   clock.Millis
+	requestedAt    clock.Millis
+	copies         int
+	awaitingAnswer bool
+	port           uint16
+	ip             netip.Addr
 }
 
-func newWorld(t testing.TB, seed uint64, balancers, agents, callers int) *world {
-	w := &world{
+func newSimulation(t testing.TB, seed uint64, balancers, agents, callers int) *simulation {
+	w := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: 24 * clock.Hour,
-		cut: map[[2]netip.AddrPort]bool{}, allowed: map[string]bool{},
-		objects: map[string]*worldObject{},
-		orders:  []evacuation.Snapshot{evacuation.New(1, nil)}, evacuated: map[string]clock.Millis{},
+		blocked: map[[2]netip.AddrPort]bool{}, allowed: map[string]bool{},
+		objects:   map[string]*worldObject{},
+		snapshots: []evacuation.Snapshot{evacuation.New(1, nil)}, evacuated: map[string]clock.Millis{},
 	}
 	w.setTable(1, "one")
 	for i := range balancers {
-		b := &worldBalancer{address: worldAddress(1, i), domain: fmt.Sprint("zone-", i%3)}
+		b := &simBalancer{address: testAddress(1, i), domain: fmt.Sprint("zone-", i%3)}
 		w.balancers = append(w.balancers, b)
 		w.startBalancer(b)
 	}
@@ -171,28 +171,28 @@
 		if i%3 == 2 {
 			service = "two"
 		}
-		a := &worldAgent{address: worldAddress(2, i), domain: fmt.Sprint("zone-", i%3), service: service}
+		a := &simAgent{address: testAddress(2, i), domain: fmt.Sprint("zone-", i%3), service: service}
 		w.agents = append(w.agents, a)
 		w.startTarget(a)
 		w.startAgent(a)
 	}
 	for i := range callers {
-		c := &worldCaller{ip: netip.AddrFrom4([4]byte{100, 64, 0, byte(i + 1)}), port: 1000}
+		c := &simCaller{ip: netip.AddrFrom4([4]byte{100, 64, 0, byte(i + 1)}), port: 1000}
 		w.callers = append(w.callers, c)
-		w.after(clock.Millis(3000+w.random.IntN(2000)), func() { w.callerOpens(c) })
+		w.schedule(clock.Millis(3000+w.random.IntN(2000)), func() { w.openFlow(c) })
 	}
 	return w
 }
 
-func worldAddress(kind, i int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(kind), byte(i >> 8), byte(i + 1)}), worldPort)
+func testAddress(kind, i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(kind), byte(i >> 8), byte(i + 1)}), simPort)
 }
 
-var worldListener = netip.MustParseAddrPort("198.18.0.1:443")
+var testListener = netip.MustParseAddrPort("198.18.0.1:443")
 
-func (w *world) setTable(version uint64, service string) {
+func (w *simulation) setTable(version uint64, service string) {
 	t := &routing.Table{Version: version, Listeners: []routing.Listener{
-		{Name: "l", Address: worldListener, Shares: []routing.Share{{Service: service, Weight: 1}}},
+		{Name: "l", Address: testListener, Shares: []routing.Share{{Service: service, Weight: 1}}},
 	}}
 	if err := t.Check(); err != nil {
 		w.t.Fatal(err)
@@ -200,38 +200,38 @@
 	w.table = t
 	w.allowed[service] = true
 	for _, b := range w.balancers {
-		w.after(clock.Millis(w.random.IntN(300)), func() { b.steerer.SetTable(w.now, t) })
+		w.schedule(clock.Millis(w.random.IntN(300)), func() { b.steerer.SetTable(w.now, t) })
 	}
 }
 
-func (w *world) after(d clock.Millis, do func()) {
-	w.order++
-	heap.Push(&w.queue, moment{at: w.now + d, order: w.order, do: do})
+func (w *simulation) schedule(d clock.Millis, do func()) {
+	w.sequence++
+	heap.Push(&w.queue, simEvent{at: w.now + d, order: w.sequence, action: do})
 }
 
-func (w *world) run(until clock.Millis) {
+func (w *simulation) run(until clock.Millis) {
 	end := w.now + until
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		m := heap.Pop(&w.queue).(moment)
+		m := heap.Pop(&w.queue).(simEvent)
 		w.now = m.at
-		m.do()
+		m.action()
 	}
 	w.now = end
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *simulation) fail(format string, args ...any) {
 	w.failures = append(w.failures, fmt.Sprintf("%.3f ", float64(w.now-24*clock.Hour)/1000)+fmt.Sprintf(format, args...))
 }
 
 // network delivers later, or never, or now and then twice, the second time late.
-func (w *world) network(from, to netip.AddrPort, deliver func()) {
-	if w.random.Float64() < worldTwice {
-		w.after(clock.Millis(1+w.random.IntN(worldLate)), deliver)
+func (w *simulation) transmit(from, to netip.AddrPort, deliver func()) {
+	if w.random.Float64() < simDuplicateRate {
+		w.schedule(clock.Millis(1+w.random.IntN(simDuplicateDelay)), deliver)
 	}
-	if w.random.Float64() < w.loss || w.cut[[2]netip.AddrPort{from, to}] {
+	if w.random.Float64() < w.loss || w.blocked[[2]netip.AddrPort{from, to}] {
 		return
 	}
-	w.after(1+clock.Millis(w.random.IntN(worldDelay)), deliver)
+	w.schedule(1+clock.Millis(w.random.IntN(simMaxDelay)), deliver)
 }
 
 // encode makes the packet of a segment, as a stand-in for the real head.
@@ -265,12 +265,12 @@
 
 // Balancers.
 
-func (w *world) startBalancer(b *worldBalancer) {
+func (w *simulation) startBalancer(b *simBalancer) {
 	b.steerer = NewSteerer(w.now, Settings{
-		Domain: b.domain, Address: b.address, Evacuates: true, Flows: 10000, FlowLife: worldLife,
+		Domain: b.domain, Address: b.address, AwaitEvacuations: true, MaxFlows: 10000, FlowTTL: testFlowTTL,
 	})
-	b.up, b.born, b.knows = true, w.now, 0
-	w.hearOrder(b, w.orders[len(w.orders)-1])
+	b.up, b.born, b.knowsAllSince = true, w.now, 0
+	w.sendEvacuations(b, w.snapshots[len(w.snapshots)-1])
 	b.steerer.SetTable(w.now, w.table)
 	s := b.steerer
 	var tick func()
@@ -279,26 +279,26 @@
 			return
 		}
 		b.steerer.Tick(w.now)
-		w.settle(b)
+		w.updateSettled(b)
 		w.flushBalancer(b)
 		w.summarize(b)
-		w.after(20, tick)
+		w.schedule(20, tick)
 	}
-	w.after(1, tick)
+	w.schedule(1, tick)
 	w.keeps(b)
 }
 
 // summarize stands in for the relays: each balancer tells those of other failure domains
 // of the targets of its own.
-func (w *world) summarize(b *worldBalancer) {
+func (w *simulation) summarize(b *simBalancer) {
 	b.steerer.SetRelay(true)
 	var parts []*wire.Summary
 	switch {
-	case w.now.Sub(b.told) >= worldSummary:
-		b.told = w.now
-		b.number++
-		parts = b.steerer.Summary(w.now, uint64(b.born), b.number, false)
-		w.repeatOrders(b)
+	case w.now.Sub(b.summarizedAt) >= simSummaryInterval:
+		b.summarizedAt = w.now
+		b.summaryNumber++
+		parts = b.steerer.Summary(w.now, uint64(b.born), b.summaryNumber, false)
+		w.resendEvacuations(b)
 	case b.steerer.HasNews():
 		parts = b.steerer.News(w.now, false)
 	}
@@ -308,7 +308,7 @@
 		}
 		for _, p := range parts {
 			p = copyParcel(&wire.Parcel{Summary: p}).Summary
-			w.network(b.address, other.address, func() {
+			w.transmit(b.address, other.address, func() {
 				if other.up {
 					other.steerer.HearSummary(w.now, p)
 					w.flushBalancer(other)
@@ -320,10 +320,10 @@
 
 // repeatOrders stands in for the news of balancers, which tell the evacuations again and
 // again: a process that stood still has missed some.
-func (w *world) repeatOrders(b *worldBalancer) {
+func (w *simulation) resendEvacuations(b *simBalancer) {
 	s := b.steerer.Evacuations()
 	for _, other := range w.balancers {
-		w.network(b.address, other.address, func() {
+		w.transmit(b.address, other.address, func() {
 			if other.up {
 				other.steerer.TakeEvacuations(w.now, s)
 				w.flushBalancer(other)
@@ -334,7 +334,7 @@
 
 // settle stands in for the balancers' exchange: a balancer counts as settled
 // when it has known all running agents for a while.
-func (w *world) settle(b *worldBalancer) {
+func (w *simulation) updateSettled(b *simBalancer) {
 	all := w.now.Sub(b.born) > 700
 	for _, a := range w.agents {
 		t, ok := b.steerer.Targets.Find(a.address)
@@ -344,31 +344,31 @@
 	}
 	switch {
 	case !all:
-		b.knows = 0
-	case b.knows == 0:
-		b.knows = w.now
+		b.knowsAllSince = 0
+	case b.knowsAllSince == 0:
+		b.knowsAllSince = w.now
 	}
-	b.steerer.SetSettled(all && w.now.Sub(b.knows) > 400)
+	b.steerer.SetSettled(all && w.now.Sub(b.knowsAllSince) > 400)
 }
 
-func (w *world) flushBalancer(b *worldBalancer) {
+func (w *simulation) flushBalancer(b *simBalancer) {
 	out := b.steerer.Take()
-	w.note(b.address, out.Events)
+	w.traceEvents(b.address, out.Events)
 	for _, s := range out.Sends {
-		w.sendAgent(b, s)
+		w.sendFromBalancer(b, s)
 	}
 	for _, r := range out.Resets {
-		w.callerReset(r.Flow, "a balancer")
+		w.resetCaller(r.Flow, "a balancer")
 	}
 }
 
-func (w *world) sendAgent(b *worldBalancer, s Send) {
+func (w *simulation) sendFromBalancer(b *simBalancer, s Send) {
 	p := copyParcel(s.Parcel)
 	for _, relay := range w.balancers {
 		if relay.address != s.To {
 			continue
 		}
-		w.network(b.address, relay.address, func() {
+		w.transmit(b.address, relay.address, func() {
 			if relay.up {
 				relay.steerer.HandOn(w.now, b.address, p)
 				w.flushBalancer(relay)
@@ -379,18 +379,18 @@
 		if a.address != s.To {
 			continue
 		}
-		w.network(b.address, a.address, func() {
+		w.transmit(b.address, a.address, func() {
 			if !a.up {
 				return
 			}
-			a.holder.Hear(w.now, b.address, p, carried(p))
+			a.holder.Hear(w.now, b.address, p, packetSegment(p))
 			w.flushAgent(a)
 		})
 	}
 }
 
 // carried is the segment of a parcel's packet, or nil if it has none.
-func carried(p *wire.Parcel) *segment.Segment {
+func packetSegment(p *wire.Parcel) *segment.Segment {
 	if len(p.Packet) == 0 {
 		return nil
 	}
--- a/internal/connection/stream/young_test.go
+++ b/internal/connection/stream/young_test.go
@@ -12,7 +12,7 @@
 // hang on how soon processes are started again: one that follows another at once, beside
 // a target that has just started, would deny flows that are well.
 func TestFirstHeartbeat(t *testing.T) {
-	flow := segment.Flow{Caller: worldAddress(100, 0), Listener: worldListener}
+	flow := segment.Flow{Caller: testAddress(100, 0), Listener: testListener}
 	for _, c := range []struct {
 		name     string
 		sequence uint64
@@ -21,11 +21,11 @@
 	}{
 		{"the first one", 1, 10, wire.Holding_HOLDING_NOT},
 		{"nobody acknowledged the others", 4, 200, wire.Holding_HOLDING_NOT},
-		{"another agent may have, a pause ago", 2, worldBeat + 20, wire.Holding_HOLDING_UNSURE},
+		{"another agent may have, a pause ago", 2, simHeartbeat + 20, wire.Holding_HOLDING_UNSURE},
 		{"many were tried", 9, 600, wire.Holding_HOLDING_UNSURE},
 		{"the clock was set back", 3, -5, wire.Holding_HOLDING_UNSURE},
 	} {
-		h := alone()
+		h := newAgentWithoutTarget()
 		now := testNow + c.age
 		h.Beat(now, Beat{Service: "one", Born: 900, Sequence: c.sequence, Age: c.age, Slots: 4})
 		if got := h.holding(now, flow, 7); got != c.want {
@@ -38,7 +38,7 @@
 // meanwhile are its own, however old they are by then; those of before are gone, however
 // young.
 func TestTargetStartedAnew(t *testing.T) {
-	h := alone()
+	h := newAgentWithoutTarget()
 	h.Beat(testNow, Beat{Service: "one", Born: 500, Sequence: 1, Age: 10, Slots: 4})
 	serve(h, testNow+100, 1)
 	h.Beat(testNow+1200, Beat{Service: "one", Born: 500, Sequence: 2, Age: 1210, Slots: 4})
--- a/internal/process/decisions/decisions.go
+++ b/internal/process/decisions/decisions.go
@@ -49,7 +49,7 @@
 }
 
 // timed are the decisions whose age is a latency: how long the flow waited for it.
-var timed = []stream.Kind{stream.Took, stream.Accepted, stream.Found, stream.GaveUp}
+var timed = []stream.EventKind{stream.OwnerConfirmed, stream.Accepted, stream.OwnerFound, stream.SearchFailed}
 
 // Writer returns a writer that never blocks, and a function that writes what
 // still waits, within a bounded time: a process that stops must not be there for as long
@@ -79,8 +79,8 @@
 	scope   tally.Scope
 	limit   *rate.Limiter
 	left    int
-	counter map[stream.Kind]tally.Counter
-	latency map[stream.Kind]tally.Histogram
+	counter map[stream.EventKind]tally.Counter
+	latency map[stream.EventKind]tally.Histogram
 }
 
 // NewRecorder returns a recorder. It is used under the lock of the decisions
@@ -88,7 +88,7 @@
 func NewRecorder(log zerolog.Logger, scope tally.Scope) *Recorder {
 	r := &Recorder{
 		log: log, scope: scope, limit: rate.NewLimiter(linesPerSecond, burst),
-		counter: map[stream.Kind]tally.Counter{}, latency: map[stream.Kind]tally.Histogram{},
+		counter: map[stream.EventKind]tally.Counter{}, latency: map[stream.EventKind]tally.Histogram{},
 	}
 	for _, k := range timed {
 		r.latency[k] = scope.Histogram("latency_"+string(k), Buckets)
--- a/internal/process/decisions/story.go
+++ b/internal/process/decisions/story.go
@@ -51,7 +51,7 @@
 // beliefs are the events that tell what a process believes. They explain the
 // decisions about a flow.
 var beliefs = map[string]bool{
-	string(stream.TargetNew): true, string(stream.TargetLost): true, string(stream.TargetBack): true,
+	string(stream.TargetNew): true, string(stream.TargetSuspected): true, string(stream.TargetRecovered): true,
 	string(stream.TargetGone): true, string(stream.Upstream): true, "version": true, "settled": true,
 	string(stream.Restored): true, string(stream.Evacuation): true, "relay": true, "keeper": true, "nocheckpoint": true,
 	"start": true, "stop": true, "watch": true, "noconfiguration": true, "peer": true,
--- a/internal/process/streamagent/agent.go
+++ b/internal/process/streamagent/agent.go
@@ -240,7 +240,7 @@
 	for _, r := range out.Resets {
 		a.write(a.deps.Codec.Reset(r.Flow, r.Seq), a.caller(r.Flow.Caller.Addr()))
 	}
-	for _, d := range out.Served {
+	for _, d := range out.Latencies {
 		a.served.RecordDuration(d.Duration())
 	}
 	a.record.Record(out.Events)
--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -204,9 +204,9 @@
 	b := &Balancer{
 		settings: settings, deps: deps,
 		steerer: stream.NewSteerer(deps.Clock.Now(), stream.Settings{
-			Domain: settings.Domain, Regions: settings.Regions, Share: settings.Share, Address: settings.Parcels,
-			Evacuates: deps.Orders != nil,
-			Seed:      xxh3.HashString(settings.Name), Flows: mostFlows, FlowLife: settings.FlowLife,
+			Domain: settings.Domain, Regions: settings.Regions, CPUShare: settings.Share, Address: settings.Parcels,
+			AwaitEvacuations: deps.Orders != nil,
+			Seed:             xxh3.HashString(settings.Name), MaxFlows: mostFlows, FlowTTL: settings.FlowLife,
 		}),
 		record:    decisions.NewRecorder(deps.Log, deps.Scope),
 		malformed: decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
@@ -249,7 +249,7 @@
 	parcels.Packets(b.edge, b.deps.Codec, unreadable, func(seg *segment.Segment, packet []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.steerer.Arrive(b.deps.Clock.Now(), seg, packet)
+		b.steerer.HandlePacket(b.deps.Clock.Now(), seg, packet)
 		b.flush()
 	})
 }
@@ -284,7 +284,7 @@
 			b.refused.Inc(1)
 		}
 	default:
-		if t, added := b.steerer.Hear(now, from, p, seg); added {
+		if t, added := b.steerer.HandleParcel(now, from, p, seg); added {
 			b.announce(now, t)
 		}
 	}
--- a/internal/process/streambalancer/fleet_test.go
+++ b/internal/process/streambalancer/fleet_test.go
@@ -363,7 +363,7 @@
 		seg := segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100}
 		to.late = max(to.late, to.busy-f.now)
 		b := to.balancer
-		b.steerer.Arrive(f.tick(to), &seg, []byte("packet"))
+		b.steerer.HandlePacket(f.tick(to), &seg, []byte("packet"))
 		b.flush()
 	})
 }
