--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -11,15 +11,15 @@
 func (w *simulation) startAgent(a *simAgent) {
 	a.epoch++
 	a.up = true
-	a.holder = NewHolder(w.now, HolderSettings{
+	a.tracker = NewHolder(w.now, HolderSettings{
 		Name: a.address.String(), Domain: a.domain, Service: a.service, Epoch: a.epoch, Port: simPort,
 		Flows: 1000, FlowLife: testFlowTTL, Heartbeat: simHeartbeat, SilentAfter: 3 * simHeartbeat,
 		Checkpoint: true,
 	})
-	h := a.holder
+	h := a.tracker
 	var tick func()
 	tick = func() {
-		if a.holder != h || !a.up {
+		if a.tracker != h || !a.up {
 			return
 		}
 		h.Tick(w.now)
@@ -37,7 +37,7 @@
 	w.restores(a)
 	var tell func()
 	tell = func() {
-		if a.holder != h || !a.up {
+		if a.tracker != h || !a.up {
 			return
 		}
 		var all []netip.AddrPort
@@ -52,14 +52,14 @@
 }
 
 func (w *simulation) flushAgent(a *simAgent) {
-	if a.holder.Turned(w.now) {
+	if a.tracker.Turned(w.now) {
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		a.holder.Tell(w.now, all)
+		a.tracker.Tell(w.now, all)
 	}
-	out := a.holder.Take()
+	out := a.tracker.Take()
 	w.traceEvents(a.address, out.Events)
 	for _, d := range out.Deliveries {
 		packet := mark(d.Packet, d.Echo, false)
@@ -106,7 +106,7 @@
 		}
 		t.sequence++
 		if a.up {
-			a.holder.Beat(w.now, Beat{
+			a.tracker.Beat(w.now, Beat{
 				Service: a.service, Born: t.born, Sequence: t.sequence, Age: w.now - clock.Millis(t.born),
 				Draining: t.draining, Slots: 4,
 			})
@@ -183,7 +183,7 @@
 
 func (w *simulation) agentTakes(a *simAgent, packet []byte) {
 	if a.up {
-		a.holder.FromTarget(w.now, decode(packet), packet)
+		a.tracker.FromTarget(w.now, decode(packet), packet)
 		w.flushAgent(a)
 	}
 }
--- a/internal/connection/stream/answers.go
+++ b/internal/connection/stream/answers.go
@@ -5,41 +5,41 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// denialFor is how long a denial holds for the next search of the flow. The
-// target could get the flow only by an opening, and the agent's process
+// denialTTL is how long a denial stays valid for the next search of the flow. The
+// target could get the flow only by an opening packet, and the agent's process
 // and the target must be the same ones.
 const denialTTL = 5 * clock.Second
 
-// asked is what a target's agent has said of a flow.
+// agentAnswer is the answer of a target's agent about a flow, within a search.
 type agentAnswer struct {
 	holding wire.Holding
-	// open tells that the search counts it among those that may own the flow.
+	// candidate is set while the search counts the target as a possible owner.
 	candidate bool
-	// search is the search that asked last.
+	// search is the last search that asked.
 	search *search
-	// handed tells how many of the kept packets the target was handed.
+	// forwarded is how many of the buffered packets were forwarded to the target.
 	forwarded int
-	// at is when the agent denied the flow, for its process and target.
+	// deniedAt is when the agent denied the flow, and deniedBy its process and target then.
 	deniedAt clock.Millis
 	deniedBy process
 }
 
-// denies reports whether an earlier denial still holds.
-func (q *agentAnswer) stillDenies(now clock.Millis, t *Target) bool {
-	return q.holding == wire.Holding_HOLDING_NOT && now.Sub(q.deniedAt) < denialTTL &&
-		q.deniedBy == process{epoch: t.Epoch, born: t.Born}
+// stillDenies reports whether an earlier denial is still valid.
+func (a *agentAnswer) stillDenies(now clock.Millis, t *Target) bool {
+	return a.holding == wire.Holding_HOLDING_NOT && now.Sub(a.deniedAt) < denialTTL &&
+		a.deniedBy == process{epoch: t.Epoch, born: t.Born}
 }
 
-// denials are what was said of a flow in a search that has ended without an owner.
+// failedSearch refers to the answers of a search that ended without an owner.
 type failedSearch struct {
 	flow *flow
 	at   clock.Millis
 }
 
-// remember keeps what agents have said of a flow for its next search.
+// retainAnswers retains the answers of agents about a flow for its next search.
 //
-// It is kept for as long as it holds, and for a bounded number of flows: packets of flows
-// that nobody owns may come in without an end.
+// They are retained while they are valid, and for a bounded number of flows: there is no
+// limit to the packets that may arrive for flows without an owner.
 func (s *Steerer) retainAnswers(now clock.Millis, f *flow) {
 	f.searchFailedAt = now
 	s.failedSearches = append(s.failedSearches, failedSearch{flow: f, at: now})
@@ -48,7 +48,7 @@
 	}
 }
 
-// lapse forgets the oldest denials, unless a later search of the flow has them.
+// dropOldestAnswers drops the oldest answers, unless a later search of the flow uses them.
 func (s *Steerer) dropOldestAnswers() {
 	d := s.failedSearches[0]
 	s.failedSearches = s.failedSearches[1:]
--- a/internal/connection/stream/bench_test.go
+++ b/internal/connection/stream/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// crowded returns a balancer that knows targets in three failure domains, with flows.
+// newLoadedSteerer returns a balancer that knows targets with flows in three failure domains.
 func newLoadedSteerer(b *testing.B, targets int) *Steerer {
 	b.Helper()
 	s := NewSteerer(testNow-clock.Minute, Settings{Domain: "a", MaxFlows: 10_000, FlowTTL: testFlowTTL})
@@ -23,8 +23,7 @@
 	return s
 }
 
-// BenchmarkOpening is the balancer's part of an opening and of the answer that a target took
-// it.
+// BenchmarkOpening measures a balancer's handling of an opening packet.
 func BenchmarkOpening(b *testing.B) {
 	for _, targets := range []int{10, 44, 204, 1000} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
@@ -42,7 +41,7 @@
 	}
 }
 
-// BenchmarkCarry is the balancer's part of a packet whose flow it knows.
+// BenchmarkForward measures a balancer's handling of a packet whose owner is known.
 func BenchmarkForward(b *testing.B) {
 	s := newLoadedSteerer(b, 44)
 	id := callerFlow(1)
@@ -56,8 +55,8 @@
 	}
 }
 
-// BenchmarkWaiting is a tick of a balancer whose openings wait for targets that have just
-// started and have no room.
+// BenchmarkQueuedOpenings measures a retry of queued opening packets while all targets have
+// just started and accept no more.
 func BenchmarkQueuedOpenings(b *testing.B) {
 	s := newLoadedSteerer(b, 204)
 	table := newTestTable(b)
@@ -74,6 +73,6 @@
 		s.retryQueued(testNow)
 	}
 	if len(s.queued) != maxQueued {
-		b.Errorf("%d openings wait", len(s.queued))
+		b.Errorf("%d opening packets are queued", len(s.queued))
 	}
 }
--- a/internal/connection/stream/caller_test.go
+++ b/internal/connection/stream/caller_test.go
@@ -29,8 +29,8 @@
 	w.schedule(clock.Millis(200*c.copies), func() { w.sendOpeningCopies(c, flow) })
 }
 
-// callerSends goes through the balancer that the fabric picks: mostly the same
-// one, and another one while that is down.
+// sendFromCaller sends through the balancer that the network's hashing picks: usually the
+// same one, and another one while that is down.
 func (w *simulation) sendFromCaller(c *simCaller, s segment.Segment) {
 	s.Source, s.Destination = c.flow.Caller, c.flow.Listener
 	packet := encode(s)
@@ -87,38 +87,38 @@
 	w.sendRequestCopies(c, flow, c.requestedAt, 200)
 }
 
-// callerRepeats sends a request again until it is answered or the caller's
-// patience ends.
-func (w *simulation) sendRequestCopies(c *simCaller, flow segment.Flow, asked, pause clock.Millis) {
-	if c.flow != flow || !c.awaitingAnswer || c.requestedAt != asked {
+// sendRequestCopies retransmits a request until it is answered or the caller's timeout
+// passes.
+func (w *simulation) sendRequestCopies(c *simCaller, flow segment.Flow, requestedAt, delay clock.Millis) {
+	if c.flow != flow || !c.awaitingAnswer || c.requestedAt != requestedAt {
 		return
 	}
-	if w.now.Sub(asked) > 2*clock.Second {
-		if c.target != nil && c.target.alive && asked > c.target.failsUntil && w.undisturbed(c) {
-			w.fail("%s hangs, its target %s lives", c.flow, c.agent.address)
+	if w.now.Sub(requestedAt) > 2*clock.Second {
+		if c.target != nil && c.target.alive && requestedAt > c.target.failsUntil && w.undisturbed(c) {
+			w.fail("flow %s hangs although its target %s is alive", c.flow, c.agent.address)
 		}
 		w.openFlow(c)
 		return
 	}
 	w.sendFromCaller(c, segment.Segment{Flags: segment.Acks, Ack: c.seq, Seq: c.nextSeq - simRequestSize, Size: simRequestSize})
-	w.schedule(pause, func() { w.sendRequestCopies(c, flow, asked, 2*pause) })
+	w.schedule(delay, func() { w.sendRequestCopies(c, flow, requestedAt, 2*delay) })
 }
 
-// calm reports that nothing unplanned happened to what the flow needs.
+// undisturbed reports that there was no recent unplanned fault on the flow's path.
 func (w *simulation) undisturbed(c *simCaller) bool {
-	if w.now.Sub(c.agent.end) <= simRecoveryTime || !c.agent.up {
+	if w.now.Sub(c.agent.faultEnd) <= simRecoveryTime || !c.agent.up {
 		return false
 	}
 	for _, b := range w.balancers {
-		if w.now.Sub(b.end) <= simRecoveryTime {
+		if w.now.Sub(b.faultEnd) <= simRecoveryTime {
 			return false
 		}
 	}
 	return w.loss == 0
 }
 
-// anAgent resets only what its target surely does not hold, also in the middle of
-// faults.
+// byAgent marks resets by an agent, which resets only flows that its target certainly does
+// not hold, even during faults.
 const byAgent = "an agent"
 
 func (w *simulation) resetCaller(id segment.Flow, by string) {
@@ -127,7 +127,7 @@
 			continue
 		}
 		if c.target != nil && c.target.alive && (w.undisturbed(c) || by == byAgent) {
-			w.fail("%s is reset by %s, its target %s lives", id, by, c.agent.address)
+			w.fail("flow %s is reset by %s although its target %s is alive", id, by, c.agent.address)
 		}
 		w.schedule(simResetDelay, func() {
 			if c.flow == id {
--- a/internal/connection/stream/empty_test.go
+++ b/internal/connection/stream/empty_test.go
@@ -8,14 +8,14 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// alone is an agent that has just started and has not heard of a target.
+// newAgentWithoutTarget returns an agent that has just started and knows of no target.
 func newAgentWithoutTarget() *Holder {
 	return NewHolder(testNow, HolderSettings{
 		Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 10, FlowLife: testFlowTTL, Epoch: 1, Port: simPort,
 	})
 }
 
-// says asks an agent about a flow.
+// askHolding asks an agent about a flow.
 func askHolding(h *Holder, now clock.Millis) wire.Holding {
 	h.Take()
 	q := newQuestions(0, alwaysSearching)
@@ -26,7 +26,7 @@
 	return wire.Holding(h.Take().Sends[0].Parcel.Holdings[0])
 }
 
-// handed hands the agent a packet of that flow, which the VM returns.
+// returnPacket gives the agent a packet of that flow that the VM returned.
 func returnPacket(h *Holder, now clock.Millis) {
 	s := segment.Segment{
 		Source: testAddress(100, 0), Destination: testListener, Flags: segment.Acks | segment.Returned, Ack: 7,
@@ -34,45 +34,45 @@
 	h.FromTarget(now, &s, encode(s))
 }
 
-// All VMs lost power, also one whose target had left for good. Its agent starts
-// again, with no target. Its VM refuses connections, but returns packets that are
-// handed over. Callers wait for a reset that needs this agent's word: it has to
-// deny all flows once two looks were refused, whatever the VM returns meanwhile.
+// All VMs lost power, including one whose target had left for good. Its agent starts
+// again without a target; the VM refuses connections, but returns forwarded packets.
+// Callers are reset only after this agent denies their flows: it must deny all flows once
+// two connection attempts were refused, whatever packets the VM returns meanwhile.
 func TestAgentWithoutTargetDeniesFlows(t *testing.T) {
 	h := newAgentWithoutTarget()
 	if got := askHolding(h, testNow+10); got != wire.Holding_HOLDING_UNKNOWN {
-		t.Errorf("an agent that has just started says %v", got)
+		t.Errorf("an agent that has just started answers %v", got)
 	}
 	for i := range clock.Millis(absences) {
 		h.Checked(testNow+50+i*checkEvery, Refusing)
 		returnPacket(h, testNow+60+i*checkEvery)
 	}
 	if got := askHolding(h, testNow+300); got != wire.Holding_HOLDING_NOT {
-		t.Errorf("after refused looks the agent says %v", got)
+		t.Errorf("after refused connections the agent answers %v", got)
 	}
 }
 
-// The same where connections are not answered at all. That is no proof, so the
-// agent says nothing rather than be handed packets that nobody takes or returns,
-// until two heartbeats were due. Then it tells the balancers that there is no
-// target, and nobody waits for it when its VM is taken away.
+// The same when connection attempts get no answer at all, which is inconclusive: the agent
+// must answer unknown, so that it is not forwarded packets that would be neither taken nor
+// returned, until two heartbeats were due. Then it must report that there is no target, so
+// that no balancer waits for it when its VM is removed.
 func TestUnansweredChecksAreInconclusive(t *testing.T) {
 	h := newAgentWithoutTarget()
 	for i := range clock.Millis(3) {
 		h.Checked(testNow+50+i*checkEvery, Unanswered)
 	}
 	if got := askHolding(h, testNow+700); got != wire.Holding_HOLDING_UNKNOWN {
-		t.Errorf("after looks without an answer the agent says %v", got)
+		t.Errorf("after unanswered connection attempts the agent answers %v", got)
 	}
 	if got := h.report(testNow+2300, 0).Condition; got != wire.Condition_CONDITION_UNKNOWN {
-		t.Errorf("before two heartbeats were due the target is %v", got)
+		t.Errorf("before two heartbeats were due the target is reported as %v", got)
 	}
 	later := testNow + emptyBeats*1200 + 1
 	if got := h.report(later, 0).Condition; got != wire.Condition_CONDITION_GONE {
-		t.Errorf("after two heartbeats were due the target is %v", got)
+		t.Errorf("after two heartbeats were due the target is reported as %v", got)
 	}
 	if got := askHolding(h, later); got != wire.Holding_HOLDING_NOT {
-		t.Errorf("after two heartbeats were due the agent says %v", got)
+		t.Errorf("after two heartbeats were due the agent answers %v", got)
 	}
 	h.Beat(later+1, Beat{Service: "one", Born: 5, Sequence: 1, Slots: 2})
 	if !h.Accepting(later + 1) {
@@ -80,21 +80,20 @@
 	}
 }
 
-// An agent has just started beside a target that lives, or beside one that is just
-// starting. Only where somebody listens may a search hand over a packet to find out
-// whether the target holds its flow. A target that is starting resets what it does
-// not know. The caller must not hear that: the flow is well at another target. The
-// balancer hears that this one does not hold it.
+// An agent has just started beside a running target, or one that is just starting. Only
+// if a process listens may a search forward a packet to find out whether the target holds
+// its flow. A starting target resets flows that it does not know. That reset must not reach
+// the caller, whose flow is healthy at another target; the balancer must get a denial.
 func TestResetOfUnknownFlowIsDropped(t *testing.T) {
 	h := newAgentWithoutTarget()
 	h.Checked(testNow+1, Listening)
 	if got := askHolding(h, testNow+10); got != wire.Holding_HOLDING_UNSURE {
-		t.Errorf("an agent beside a process that listens says %v", got)
+		t.Errorf("an agent beside a listening process answers %v", got)
 	}
 	packet := segment.Segment{Source: testAddress(100, 0), Destination: testListener, Flags: segment.Acks, Ack: 7, Size: 100}
 	h.Hear(testNow+11, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
 	if got := len(h.Take().Deliveries); got != 1 {
-		t.Fatalf("the packet was handed over %d times", got)
+		t.Fatalf("the packet was delivered %d times", got)
 	}
 	reset := segment.Segment{Source: testListener, Destination: testAddress(100, 0), Flags: segment.Resets, Seq: 8}
 	h.FromTarget(testNow+12, &reset, encode(reset))
@@ -103,6 +102,6 @@
 		t.Error("the caller was reset by a target that does not hold its flow")
 	}
 	if len(out.Sends) != 1 || out.Sends[0].Parcel.Holding != wire.Holding_HOLDING_NOT {
-		t.Errorf("the balancer was told %v", out.Sends)
+		t.Errorf("the balancer was sent %v", out.Sends)
 	}
 }
--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -10,18 +10,18 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// faultCount is how many faults one seed has, and seeds how many are run.
+// faultCount is the number of faults per seed, and seedCount the number of seeds.
 const (
 	faultCount = 25
 	seedCount  = 60
 )
 
-// TestWorld runs flows while everything happens to balancers, agents and
-// targets, several times and overlapping.
+// TestWorld runs flows while faults of all kinds, several and overlapping, affect
+// balancers, agents and targets.
 //
-// What a caller must see: a flow whose target lives, on a path that is calm, is
-// never reset and never hangs for two seconds; a request goes to no target that
-// was acknowledged to drain, and to no service that the table never named.
+// A flow whose target is alive, on a path without recent faults, must never be reset and
+// never hang for two seconds; no request may go to a target whose drain was acknowledged,
+// or to a service that was never in the routing table.
 func TestWorld(t *testing.T) {
 	count := seedCount
 	if more, err := strconv.Atoi(os.Getenv("WAGTAILTRAY_FUZZ")); err == nil {
@@ -31,7 +31,7 @@
 		w := newFaultySimulation(t, uint64(seed))
 		w.run(60 * clock.Second)
 		if w.served < 200 {
-			w.fail("only %d requests were served", w.served)
+			w.fail("only %d requests were answered", w.served)
 		}
 		for _, f := range w.failures {
 			t.Errorf("seed %d: %s", seed, f)
@@ -42,10 +42,10 @@
 	}
 }
 
-// planned are the faults that operators plan; flows must outlive all of them.
+// plannedFaults are the kinds of faults that operators plan; flows must survive all of them.
 var plannedFaults = []int{0, 2, 4, 8, 13}
 
-// faultyWorld has faults of all kinds, or in each other seed planned ones only.
+// newFaultySimulation schedules faults of all kinds, or for every other seed only planned ones.
 func newFaultySimulation(t testing.TB, seed uint64) *simulation {
 	w := newSimulation(t, seed, 5, 9, 40)
 	for range faultCount {
@@ -58,7 +58,7 @@
 	return w
 }
 
-// fault makes one thing happen.
+// injectFault injects a fault of a kind.
 func (w *simulation) injectFault(kind int) {
 	b := w.balancers[w.random.IntN(len(w.balancers))]
 	a := w.agents[w.random.IntN(len(w.agents))]
@@ -97,14 +97,15 @@
 }
 
 const (
-	// worldOrder is how long an order may take to reach a balancer, and worldOrdered from
-	// when on after it nothing may be opened: a balancer that starts has that much time.
+	// simEvacuationDelay is the maximum delay until a balancer learns of an evacuation, and
+	// simEvacuationGrace the time after which no flow may be opened in the domain: a balancer
+	// that starts has that much time.
 	simEvacuationDelay = 400
 	simEvacuationGrace = clock.Second
 )
 
-// evacuate gives an order for a failure domain, or withdraws it. Balancers hear of it now or
-// later, and old lists come late.
+// evacuate starts the evacuation of a failure domain, or withdraws it. Balancers learn of it
+// after different delays, and outdated snapshots arrive late.
 func (w *simulation) evacuate(domain string) {
 	last := w.snapshots[len(w.snapshots)-1]
 	c := evacuation.Change{Domain: domain, Withdrawn: last.Has(domain)}
@@ -129,7 +130,7 @@
 	})
 }
 
-// planRestart stops a balancer that tells the others its owners.
+// restartBalancer restarts a balancer that sends its owners to the others first.
 func (w *simulation) restartBalancer(b *simBalancer) {
 	if !b.up {
 		return
@@ -154,7 +155,7 @@
 	w.schedule(d, func() { w.startBalancer(b) })
 }
 
-// freezeBalancer stops a balancer's time for a while; datagrams wait.
+// freezeBalancer pauses a balancer's process for a while.
 func (w *simulation) freezeBalancer(b *simBalancer) {
 	if !b.up {
 		return
@@ -181,8 +182,8 @@
 	})
 }
 
-// restartAfter is how soon a process is started again: within a second, now and then at
-// once or, after a fault, after many.
+// restartAfter returns the delay until a process is restarted: under a second,
+// occasionally almost none or, after a fault, many seconds.
 func (w *simulation) restartAfter(planned bool) clock.Millis {
 	switch w.random.IntN(8) {
 	case 0:
@@ -195,18 +196,18 @@
 	return clock.Millis(100 + w.random.IntN(500))
 }
 
-// restartAgent starts a new process beside the same target.
+// restartAgent starts a new agent process beside the same target.
 func (w *simulation) restartAgent(a *simAgent, planned bool) {
 	if !a.up {
 		return
 	}
 	if planned {
-		a.holder.Stop(w.now)
+		a.tracker.Stop(w.now)
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		a.holder.Tell(w.now, all)
+		a.tracker.Tell(w.now, all)
 		w.flushAgent(a)
 	}
 	a.up = false
@@ -220,7 +221,7 @@
 	})
 }
 
-// drainTarget ends a target as planned and starts another one beside the same
+// drainTarget drains and stops a target, and starts another one beside the same
 // agent.
 func (w *simulation) drainTarget(a *simAgent) {
 	t := a.target
@@ -234,7 +235,7 @@
 		}
 		t.alive = false
 		if a.up {
-			a.holder.Leave(w.now)
+			a.tracker.Leave(w.now)
 			w.flushAgent(a)
 		}
 		w.schedule(500, func() { w.startTarget(a) })
@@ -254,14 +255,14 @@
 	})
 }
 
-// spoilTarget lets a target fail all requests for a while, with heartbeats as
+// failRequests makes a target fail all requests for a while, with heartbeats as
 // before.
 func (w *simulation) failRequests(a *simAgent) {
 	t := a.target
 	t.failsUntil, t.unresponsive = w.now+clock.Millis(2000+w.random.IntN(6000)), w.random.IntN(2) == 0
 }
 
-// loseVM takes agent and target away; others come later.
+// loseVM removes agent and target; replacements start later.
 func (w *simulation) loseVM(a *simAgent) {
 	if !a.up || !a.target.alive {
 		return
@@ -290,7 +291,7 @@
 	})
 }
 
-// herd kills all balancers and agents; the targets live on.
+// killAllProcesses kills all balancers and agents; the targets stay alive.
 func (w *simulation) killAllProcesses() {
 	for _, b := range w.balancers {
 		w.killBalancer(b)
--- a/internal/connection/stream/handon_test.go
+++ b/internal/connection/stream/handon_test.go
@@ -9,18 +9,18 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// always stands in for searches that never end.
+// alwaysSearching is an isSearched function for searches that never end.
 func alwaysSearching(segment.Flow) bool { return true }
 
 var testRelay = testAddress(1, 9)
 
-// relayed returns a balancer in failure domain a that has begun a search, with one target
-// there that has denied the flow, and the relay of b with some.
-func newRelayedSearch(t *testing.T, far int) (s, relay *Steerer) {
+// newRelayedSearch returns a balancer in failure domain a with a search under way, whose one
+// target there has denied the flow, and the relay of domain b with remote targets.
+func newRelayedSearch(t *testing.T, remote int) (s, relay *Steerer) {
 	t.Helper()
 	s, _ = newSearchingSteerer(t, 1, 0)
 	relay = NewSteerer(0, Settings{Domain: "b", Address: testRelay, MaxFlows: 100, FlowTTL: testFlowTTL})
-	for i := range far {
+	for i := range remote {
 		r := ready(1, 1)
 		r.Domain = "b"
 		relay.HandleParcel(testNow, testAddress(2, 1+i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
@@ -44,24 +44,24 @@
 	return all
 }
 
-// Flows are lost and a failure domain elsewhere has forty targets: each flow crosses once
-// to be asked of all of them, and they answer the asker.
+// Another failure domain has forty targets: a question about a lost flow must cross to it
+// once for all of them, and they must answer the asker.
 func TestQuestionsGoByRelay(t *testing.T) {
-	const far = 40
-	s, relay := newRelayedSearch(t, far)
+	const remote = 40
+	s, relay := newRelayedSearch(t, remote)
 	asked := sentQuestions(s)
 	if len(asked) != 1 || asked[testRelay] == nil {
 		t.Fatalf("asked %v, want the relay", asked)
 	}
 	asker := testAddress(1, 0)
 	if !relay.HandOn(testNow+14, asker, asked[testRelay]) {
-		t.Fatal("the relay does not hand the question on")
+		t.Fatal("the relay does not forward the question")
 	}
-	handed := sentQuestions(relay)
-	if len(handed) != far {
-		t.Fatalf("handed on to %d agents, want %d", len(handed), far)
+	forwarded := sentQuestions(relay)
+	if len(forwarded) != remote {
+		t.Fatalf("forwarded to %d agents, want %d", len(forwarded), remote)
 	}
-	for at, p := range handed {
+	for at, p := range forwarded {
 		h := NewHolder(0, HolderSettings{Service: "one", Port: simPort, Flows: 10, FlowLife: testFlowTTL})
 		h.Hear(testNow+15, testRelay, p, nil)
 		out := h.Take().Sends
@@ -69,7 +69,7 @@
 			t.Fatalf("the agent answers %v", out)
 		}
 		if relay.HandOn(testNow+15, asker, p) {
-			t.Error("a question that was handed on is handed on again")
+			t.Error("a forwarded question is forwarded again")
 		}
 		out[0].Parcel.Holdings[0] = byte(wire.Holding_HOLDING_NOT)
 		s.HandleParcel(testNow+18, at, out[0].Parcel, nil)
@@ -77,24 +77,24 @@
 	s.SetSettled(true)
 	s.Tick(testNow + 20)
 	if out := s.Take(); len(out.Resets) != 1 {
-		t.Errorf("every target has denied the flow, and %d resets are sent", len(out.Resets))
+		t.Errorf("every target has denied the flow, but %d resets were sent, want 1", len(out.Resets))
 	}
 }
 
-// The relay is gone, or has no room for another question: the agents are asked directly
-// after a pause.
+// The relay is down or its rate limit is exceeded: the agents must be asked directly after
+// a delay.
 func TestRelayUnavailable(t *testing.T) {
-	const far = 5
-	s, relay := newRelayedSearch(t, far)
+	const remote = 5
+	s, relay := newRelayedSearch(t, remote)
 	question := sentQuestions(s)[testRelay]
-	handed := 0
+	forwarded := 0
 	for range 100 {
 		if relay.HandOn(testNow+14, testAddress(1, 0), question) {
-			handed++
+			forwarded++
 		}
 	}
-	if handed == 0 || handed == 100 {
-		t.Errorf("the relay has handed on %d of 100 questions at one moment", handed)
+	if forwarded == 0 || forwarded == 100 {
+		t.Errorf("the relay forwarded %d of 100 questions at once, want some but not all", forwarded)
 	}
 	direct := map[netip.AddrPort]bool{}
 	for now := testNow + 20; now < testNow+initialRetryDelay+50; now += 10 {
@@ -103,13 +103,13 @@
 			direct[to] = true
 		}
 	}
-	if len(direct) < far {
-		t.Errorf("%d of %d agents were asked directly", len(direct), far)
+	if len(direct) < remote {
+		t.Errorf("%d of %d agents were asked directly", len(direct), remote)
 	}
 }
 
-// Anybody may answer: what an agent of another failure domain than the one that was asked
-// says of these flows does not count.
+// An answer of an agent of another failure domain than the one that was asked must be
+// ignored.
 func TestAnswerOfOtherDomain(t *testing.T) {
 	q := newQuestions(0, alwaysSearching)
 	id := segment.Flow{Caller: testFlow.Caller, Listener: testFlow.Listener}
@@ -118,11 +118,11 @@
 	q.flush(testNow+clock.Second, 0, &out)
 	number := out.Sends[0].Parcel.Number
 	if got := q.answeredFlows(number, testAddress(2, 1), "c"); got != nil {
-		t.Errorf("an answer of another failure domain counts for %v", got)
+		t.Errorf("an answer of another failure domain was accepted for %v", got)
 	}
 	for range 2 {
 		if got := q.answeredFlows(number, testAddress(2, 1), "b"); len(got) != 1 {
-			t.Errorf("an answer counts for %v", got)
+			t.Errorf("an answer was accepted for %v, want one flow", got)
 		}
 	}
 }
--- a/internal/connection/stream/opening.go
+++ b/internal/connection/stream/opening.go
@@ -11,9 +11,9 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// open sends a flow's opening to a target. A copy goes to the target that took
-// the first one; if none has said so yet, to another one, for the first may be
-// dead and accepting twice does no harm.
+// handleOpening sends an opening packet to a target. A retransmission goes to the target
+// that confirmed the first one; if none has, to another target, since the first may be
+// down and accepting twice is harmless.
 func (s *Steerer) handleOpening(now clock.Millis, id segment.Flow, f *flow, packet []byte) {
 	if f != nil && s.resendToOwner(now, f, packet) {
 		return
@@ -40,8 +40,8 @@
 	s.placeOpening(now, id, f, packet)
 }
 
-// reopen sends a copy of an opening to the target that took it, and reports whether it
-// did.
+// resendToOwner sends a retransmitted opening packet to the target that confirmed the
+// flow, and reports whether it did.
 func (s *Steerer) resendToOwner(now clock.Millis, f *flow, packet []byte) bool {
 	agent, ok := f.owner.Confirmed()
 	if !ok {
@@ -56,8 +56,8 @@
 	return true
 }
 
-// pick chooses the flow's service. A caller at an address that nobody listens
-// at is told at once.
+// pickService chooses the flow's service. If no listener has the address, the caller is
+// reset at once.
 func (s *Steerer) pickService(id segment.Flow) (string, error) {
 	if s.table == nil {
 		s.out.record(Event{Kind: Unrouted, Flow: id, Reason: "no configuration yet"})
@@ -77,8 +77,8 @@
 	}
 }
 
-// warming returns how many openings a second a target of a service bears while it is slow
-// after its start, or zero for no bound.
+// warmingRate returns how many opening packets per second a target of a service accepts
+// while it warms up after its start, or zero for no limit.
 func (s *Steerer) warmingRate(service string) int {
 	if s.table == nil {
 		return 0
@@ -90,7 +90,7 @@
 	return Demand{Service: f.service, Homes: f.homeRegions, Warming: s.warmingRate(f.service), Tried: f.tried}
 }
 
-// place sends an opening to the target that costs least of those not tried.
+// placeOpening sends an opening packet to the target of lowest cost that was not tried yet.
 func (s *Steerer) placeOpening(now clock.Millis, id segment.Flow, f *flow, packet []byte) {
 	t, ok := s.Targets.Choose(now, s.demand(f))
 	if !ok {
@@ -111,11 +111,11 @@
 	s.out.send(t.Address, s.openParcel(f.service, packet))
 }
 
-// unplaced deals with an opening that no target is left for.
+// handleUnplaced handles an opening packet for which no target is left.
 //
-// Where each target has turned it away, or none may ever take it, the caller is told at
-// once: nothing has run, and it may come back. Where a target may still take it, the
-// opening is forgotten; its next copy comes within half a second and finds the news.
+// If every target has declined it, or none can ever take it, the caller is reset at once:
+// no request has run, so it may try again. If a target may still take it, the packet is
+// dropped; its retransmission arrives within half a second and uses the state of then.
 func (s *Steerer) handleUnplaced(now clock.Millis, id segment.Flow, f *flow, packet []byte) {
 	if f.pending > 0 && len(f.tried) > 0 {
 		s.resendToTried(now, id, f, packet)
@@ -144,7 +144,7 @@
 	s.flows.Remove(id)
 }
 
-// certain reports that this balancer has not just started, or knows all targets.
+// knowsTargets reports that this balancer is past its startup period, or knows all targets.
 func (s *Steerer) knowsTargets(now clock.Millis) bool {
 	return s.settled || now.Sub(s.started) > startupPeriod
 }
@@ -156,8 +156,8 @@
 	return NoTarget
 }
 
-// again sends a copy to the targets that have had one already and did not
-// answer: there is no other.
+// resendToTried sends a retransmission to the targets that were sent the opening packet
+// before and did not answer, as there are no others.
 func (s *Steerer) resendToTried(now clock.Millis, id segment.Flow, f *flow, packet []byte) {
 	ts, demand := s.Targets, s.demand(f)
 	demand.Tried = nil
@@ -174,7 +174,7 @@
 	}
 }
 
-// declined chooses again for an opening that a target returned.
+// handleDeclined chooses another target for an opening packet that a target returned.
 func (s *Steerer) handleDeclined(now clock.Millis, id segment.Flow, f *flow, from netip.AddrPort, p *wire.Parcel) {
 	f.pending = max(f.pending-1, 0)
 	if !slices.Contains(f.tried, from) {
--- a/internal/connection/stream/outcome.go
+++ b/internal/connection/stream/outcome.go
@@ -8,28 +8,28 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Send is a parcel for another process.
+// Send is a parcel to send to another process.
 type Send struct {
 	To     netip.AddrPort
 	Parcel *wire.Parcel
 }
 
-// Reset ends a flow at its caller.
+// Reset is a reset packet to send to the caller of a flow.
 type Reset struct {
 	Flow segment.Flow
 	Seq  uint32
 }
 
-// Delivery is a packet for the target, marked with an echo.
+// Delivery is a packet to deliver to the target, marked with Echo.
 type Delivery struct {
 	Packet []byte
 	Echo   uint32
 }
 
-// Kind names a decision in logs and counters.
+// EventKind is the name of a decision in logs and counters.
 type EventKind string
 
-// Decisions about requests, and changes of beliefs.
+// Decisions about flows, and changes in the known state of targets.
 const (
 	Opened          EventKind = "open"
 	Reopened        EventKind = "reopen"
@@ -56,7 +56,7 @@
 	Evacuation      EventKind = "evacuation"
 )
 
-// Event is one decision with what decided it.
+// Event is a decision with the inputs that led to it.
 type Event struct {
 	Kind    EventKind
 	Flow    segment.Flow
@@ -64,22 +64,22 @@
 	Name    string
 	Service string
 	Reason  string
-	// Age is how old the deciding input is: a target's report, or a search.
+	// Age is the age of the deciding input: a target's report, or a search.
 	Age clock.Millis
-	// Count is what the decision counted: answers, flows or attempts.
+	// Count depends on the decision: answers, flows or attempts.
 	Count int
-	// Version is the routing table in force.
+	// Version is the version of the active routing table.
 	Version uint64
 }
 
-// Outcome is what decisions want done, in order.
+// Outcome lists the actions that decisions require, in order.
 type Outcome struct {
 	Sends      []Send
 	Resets     []Reset
 	Deliveries []Delivery
-	// Answers are packets of the target for callers.
+	// Answers are packets from the target to callers.
 	Answers [][]byte
-	// Served are the times from a request's first packet to its answer's.
+	// Latencies are the times from a request's first packet to the first one of its answer.
 	Latencies []clock.Millis
 	Events    []Event
 }
--- a/internal/connection/stream/owners.go
+++ b/internal/connection/stream/owners.go
@@ -6,16 +6,16 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// inheritedFor is how long a flow is told on whose owner another balancer has told and
-// that has had no packet here: some pauses of callers between two requests.
+// inheritedTTL is how long an inherited owner is passed on while the flow has had no
+// packet here: some pauses of callers between two requests.
 const inheritedTTL = 5 * clock.Second
 
-// Owners returns the flows that this balancer knows the owners of, for the one
-// that takes its place: those that had packets here, and those inherited lately.
+// Owners returns the flows whose owners this balancer knows, for its successor: those
+// that had packets here, and those inherited recently.
 //
-// Each balancer of a failure domain tells a starting one. Were all told that any of them
-// has ever inherited, it would be told each flow by each, and small ones were busy with
-// that while callers' packets wait.
+// Each balancer of a failure domain sends its owners to a starting one. If they included
+// every owner ever inherited, the starting balancer would receive each flow from each of
+// them, and small balancers would be busy with that while callers' packets wait.
 func (s *Steerer) Owners(now clock.Millis) []*wire.Owner {
 	var all []*wire.Owner
 	for _, id := range s.flows.Keys() {
@@ -38,8 +38,8 @@
 	return all
 }
 
-// Inherit remembers owners that another balancer knew. What this one has found
-// out itself stays.
+// Inherit adds owners that another balancer knew and returns how many were added. Flows
+// that are already in the table are not changed.
 func (s *Steerer) Inherit(now clock.Millis, owners []*wire.Owner) int {
 	taken := 0
 	for _, o := range owners {
--- a/internal/connection/stream/ownership.go
+++ b/internal/connection/stream/ownership.go
@@ -2,20 +2,20 @@
 
 import "net/netip"
 
-// ownership is how sure a balancer is who holds a flow.
+// ownership is how certain a balancer is of a flow's owner.
 type ownership int
 
 const (
-	// unowned: no agent is known to hold it.
+	// unowned: no agent is known to hold the flow.
 	unowned ownership = iota
-	// offered: the opening was sent to an agent that has not said that it took it.
+	// offered: the opening packet was sent to an agent that has not confirmed it.
 	offered
-	// taken: an agent has said that it took it.
+	// confirmed: an agent has confirmed that its target holds the flow.
 	confirmed
 )
 
-// owner is who holds a flow, as far as a balancer knows. An unowned flow has no agent;
-// only Agent tells one, so that nobody uses an address that is not there.
+// owner is the agent that holds a flow, as far as a balancer knows. An unowned flow has
+// no agent; its address is read only through methods that report whether there is one.
 type owner struct {
 	state ownership
 	agent netip.AddrPort
@@ -29,17 +29,17 @@
 	return owner{state: confirmed, agent: agent}
 }
 
-// Agent returns the agent that took the flow or was offered it.
+// Agent returns the agent that confirmed the flow or was offered it.
 func (o owner) Agent() (netip.AddrPort, bool) {
 	return o.agent, o.state != unowned
 }
 
-// Taker returns the agent that has said that it took the flow.
+// Confirmed returns the agent that confirmed the flow.
 func (o owner) Confirmed() (netip.AddrPort, bool) {
 	return o.agent, o.state == confirmed
 }
 
-// is reports that the flow was taken by the agent or offered to it.
+// isAgent reports whether the agent confirmed the flow or was offered it.
 func (o owner) isAgent(agent netip.AddrPort) bool {
 	return o.state != unowned && o.agent == agent
 }
--- a/internal/connection/stream/ownership_test.go
+++ b/internal/connection/stream/ownership_test.go
@@ -8,9 +8,9 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// A flow's target has gone while as many searches as there may be are under way, so its
-// owner is cleared and no search begins. The next balancer that starts in the failure
-// domain is told the owners: the flow has none, and telling one ends no process.
+// A flow's target goes while the maximum number of searches is under way, so its owner is
+// cleared and no search starts. When the owners are sent to the next balancer that starts
+// in the failure domain, the flow must not be among them, and must not cause a panic.
 func TestOwnersWhileSearchesAreRefused(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -37,15 +37,15 @@
 			c.lose(s, testNow+3, packet)
 			s.Take()
 			if got := s.Owners(testNow + 4); len(got) != 0 {
-				t.Errorf("owners told: %v", got)
+				t.Errorf("owners sent: %v", got)
 			}
 		})
 	}
 }
 
-// A failure domain's balancers are restarted in turn. Each tells a starting one what had
-// packets here, and what it was told itself a moment ago; not every flow that any of them
-// ever knew, nor those that have ended.
+// A failure domain's balancers are restarted in turn. Each must send a starting one the
+// flows that had packets here and those inherited recently, but not every flow that any of
+// them ever knew, nor flows that have ended.
 func TestOwnersAreSentOnce(t *testing.T) {
 	s, packet := newSearchingSteerer(t, 1, 0)
 	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_OWNED)
@@ -55,26 +55,26 @@
 		t.Fatalf("%d flows inherited", got)
 	}
 	if got := len(other.Owners(later + inheritedTTL)); got != 1 {
-		t.Errorf("%d flows told on that were inherited a moment ago", got)
+		t.Errorf("%d flows sent that were inherited recently, want 1", got)
 	}
 	later += inheritedTTL + 1
 	if got := len(other.Owners(later)); got != 0 {
-		t.Errorf("%d flows told on that never had a packet there", got)
+		t.Errorf("%d flows sent that never had a packet there, want none", got)
 	}
 	if got := len(s.Owners(later)); got != 1 {
-		t.Errorf("%d flows told that had packets", got)
+		t.Errorf("%d flows sent that had packets, want 1", got)
 	}
 	end := encode(segment.Segment{
 		Source: testFlow.Caller, Destination: testFlow.Listener, Flags: segment.Ends | segment.Acks, Ack: 9,
 	})
 	s.HandlePacket(later, decode(end), end)
 	if got := len(s.Owners(later)); got != 0 {
-		t.Errorf("%d flows told that their callers have ended", got)
+		t.Errorf("%d flows sent that their callers have ended, want none", got)
 	}
 	s.HandlePacket(later, decode(packet), packet)
 }
 
-// fillSearches begins as many searches as there may be.
+// fillSearches starts the maximum number of searches.
 func fillSearches(s *Steerer, now clock.Millis) {
 	for i := range s.searchLimit() {
 		packet := encode(segment.Segment{
--- a/internal/connection/stream/packets.go
+++ b/internal/connection/stream/packets.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// retain keeps a packet, unless it is there already: callers send again what is not
-// answered.
+// bufferPacket buffers a copy of a packet, unless the search already has it: callers
+// retransmit what is not answered.
 func (s *Steerer) bufferPacket(x *search, packet []byte) {
 	known := slices.ContainsFunc(x.packets, func(p []byte) bool { return bytes.Equal(p, packet) })
 	if known || len(x.packets) >= maxSearchPackets || s.bufferedBytes+len(packet) > maxBufferedBytes {
@@ -17,7 +17,7 @@
 	s.bufferedBytes += len(packet)
 }
 
-// drop takes the searches that have ended off the list, with what they kept.
+// removeEnded removes searches that have ended, and the packets that they buffered.
 func (s *Steerer) removeEnded() {
 	s.searches = slices.DeleteFunc(s.searches, func(x *search) bool {
 		if x.ended {
--- a/internal/connection/stream/questions.go
+++ b/internal/connection/stream/questions.go
@@ -13,95 +13,95 @@
 )
 
 const (
-	// leastGather is how long questions wait for others to the same agent after some
-	// were sent: a fraction of a search's first stage. Each search under way beyond
-	// that many milliseconds times searchesPerMilli makes it longer, up to
-	// mostGather: what a search waits longer, a small balancer has for the answers.
+	// minBatchDelay is how long questions are batched after the last batch was sent: a
+	// fraction of domainTimeout. If that is longer, the delay is a millisecond per
+	// searchesPerMilli searches under way, up to maxBatchDelay. This delays searches, but leaves
+	// a small balancer time to process the answers.
 	minBatchDelay    = 5 * clock.Millis(1)
 	maxBatchDelay    = 50 * clock.Millis(1)
 	searchesPerMilli = 4
-	// questionSize is what a question takes in a parcel: a flow and a number.
+	// questionSize is the encoded size of a question: a flow and an acknowledgement number.
 	questionSize = 16
-	// mostQuestions keeps a parcel of questions within one frame.
+	// maxBatchSize keeps a parcel of questions within one Ethernet frame.
 	maxBatchSize = 80
-	// questionsPerCore is how many parcels of questions a second a whole core may send:
-	// the answers come on top, and most of its time is for flows that are well.
+	// batchesPerCore is how many parcels of questions a balancer with a whole core may send
+	// per second: it processes the answers too, and most of its time is for healthy flows.
 	batchesPerCore = 6000.0
-	// unknownShare stands in for a part of a core that is not known, in thousandths.
+	// defaultCPUShare is used for a share of a core that is unknown, in thousandths.
 	defaultCPUShare = 250
-	// questionBurst is how many of a second's parcels may leave at once, and leastBurst
-	// how many at least: a single search in a failure domain waits for nothing.
+	// burstFraction is the fraction of a second's parcels that may be sent at once, and
+	// minBurst the smallest burst: a single search in a failure domain is not delayed.
 	burstFraction = 0.3
 	minBurst      = 100.0
-	// handedCost is what a question that a relay hands on takes of the budget: some tens
-	// of answers come back, each of which is less work than a question.
+	// relayedCost is how many tokens a question to a relay takes: some tens of answers
+	// come back, each of which is less work than a question.
 	relayedCost = 12.0
-	// farWaits is how much longer questions to other failure domains wait than those
-	// within the own one: most flows never leave it.
+	// remoteDelay is by how much questions to other failure domains are ranked behind
+	// those within the balancer's own: most flows never leave it.
 	remoteDelay = 50 * clock.Millis(1)
 )
 
-// questions are gathered for each agent.
+// questions batches the ownership questions to each agent.
 //
-// After a loss of power packets of thousands of flows arrive that nobody holds, and a
-// datagram for each flow and target would keep small balancers busy for many seconds.
-// Gathered, the questions of a moment are one datagram a target, and an answer is a byte
-// a flow. A single search waits for nothing: its questions leave at once.
+// After a power loss, packets of thousands of flows arrive that no target holds, and a
+// datagram per flow and target would keep small balancers busy for many seconds. Batched,
+// the questions of one interval are a datagram per target, and an answer is a byte per
+// flow. A single search is not delayed: its questions are sent at once.
 //
-// Among hundreds of targets even a datagram a target for each moment is more than a small
-// balancer can send. So there is a budget of them by its part of a core. What is over it
-// goes on gathering: the later a question leaves, the more flows it asks about.
+// With hundreds of targets, even a datagram per target and interval is more than a small
+// balancer can send. So a token bucket limits them according to its share of a core.
+// Questions over the limit stay batched: the later a batch is sent, the more flows it has.
 type questions struct {
 	pending map[netip.AddrPort]*batch
-	// sent are the batches without an answer, by their numbers.
+	// sent are the unanswered batches, by their numbers.
 	sent       map[uint32]*batch
 	lastNumber uint32
 	lastFlush  clock.Millis
 	lastSweep  clock.Millis
-	// searched tells whether the owner of a flow is still searched.
+	// isSearched reports whether a search for the owner of a flow is still under way.
 	isSearched func(segment.Flow) bool
 	tokenBucket
 }
 
-// batch is questions to one agent, or to all agents of another failure domain by way of
+// batch holds questions to one agent, or to all agents of another failure domain through
 // its relay.
 type batch struct {
 	to netip.AddrPort
 	// domain is that failure domain; empty for a batch to an agent.
 	domain string
 	sentAt clock.Millis
-	// since orders the batches that wait.
+	// queuedAt orders the pending batches.
 	queuedAt clock.Millis
 	flows    []segment.Flow
 	encoded  []byte
-	// most is from how many flows on those are looked for whose searches are over.
+	// pruneAt is the number of flows at which those whose searches have ended are removed.
 	pruneAt int
 }
 
-// newQuestions returns the questions of a balancer with a part of a core, in thousandths.
+// newQuestions returns the questions of a balancer with a share of a core, in thousandths.
 func newQuestions(share uint32, searched func(segment.Flow) bool) questions {
 	return questions{
 		pending: map[netip.AddrPort]*batch{}, sent: map[uint32]*batch{}, isSearched: searched, tokenBucket: newQuestionBucket(share),
 	}
 }
 
-// add asks an agent about a flow; far tells that it is in another failure domain.
-func (q *questions) add(now clock.Millis, to netip.AddrPort, far bool, id segment.Flow, ack uint32) {
-	q.addTo(q.pendingBatch(now, to, far), id, ack)
+// add asks an agent about a flow; remote reports that it is in another failure domain.
+func (q *questions) add(now clock.Millis, to netip.AddrPort, remote bool, id segment.Flow, ack uint32) {
+	q.addTo(q.pendingBatch(now, to, remote), id, ack)
 }
 
-// addAll asks all agents of another failure domain by way of its relay.
+// addRelayed asks all agents of another failure domain through its relay.
 func (q *questions) addRelayed(now clock.Millis, relay netip.AddrPort, domain string, id segment.Flow, ack uint32) {
 	b := q.pendingBatch(now, relay, true)
 	b.domain = domain
 	q.addTo(b, id, ack)
 }
 
-func (q *questions) pendingBatch(now clock.Millis, to netip.AddrPort, far bool) *batch {
+func (q *questions) pendingBatch(now clock.Millis, to netip.AddrPort, remote bool) *batch {
 	b := q.pending[to]
 	if b == nil {
 		b = &batch{to: to, queuedAt: now, pruneAt: maxBatchSize}
-		if far {
+		if remote {
 			b.queuedAt += remoteDelay
 		}
 		q.pending[to] = b
@@ -109,8 +109,8 @@
 	return b
 }
 
-// put adds a question to a batch. Those of ended searches are taken out as it grows, so
-// that it has no more than there may be searches, twice over.
+// addTo adds a question to a batch. As the batch grows, the questions of ended searches
+// are removed, so that it has at most twice as many as there may be searches.
 func (q *questions) addTo(b *batch, id segment.Flow, ack uint32) {
 	if slices.Contains(b.flows, id) {
 		return
@@ -124,7 +124,7 @@
 	b.encoded = binary.BigEndian.AppendUint32(b.encoded, ack)
 }
 
-// prune takes the questions out whose searches are over.
+// prune removes the questions whose searches have ended.
 func (q *questions) prune(b *batch) {
 	kept := 0
 	for i, id := range b.flows {
@@ -138,13 +138,13 @@
 	b.flows, b.encoded = b.flows[:kept], b.encoded[:kept*questionSize]
 }
 
-// behind reports that questions wait because the budget is spent.
+// throttled reports that questions are pending because there is no token left.
 func (q *questions) throttled() bool {
 	return len(q.pending) > 0 && q.tokens < 1
 }
 
-// flush sends what waits as far as the budget goes, unless something was sent a moment
-// ago, and forgets the questions whose searches are over.
+// flush sends pending batches while there are tokens, unless the batch delay has not
+// passed yet, and removes sent batches whose searches have ended.
 func (q *questions) flush(now clock.Millis, searches int, out *Outcome) {
 	if now.Sub(q.lastSweep) > searchTimeout {
 		q.lastSweep = now
@@ -166,14 +166,14 @@
 	}
 }
 
-// oldest returns the batches that wait, those that have waited longest first.
+// oldest returns the pending batches, the oldest first.
 func (q *questions) oldest() []*batch {
 	return slices.SortedFunc(maps.Values(q.pending), func(a, b *batch) int {
 		return cmp.Or(cmp.Compare(a.queuedAt, b.queuedAt), a.to.Compare(b.to))
 	})
 }
 
-// sendAll sends a batch in parcels, and reports whether the budget sufficed.
+// sendAll sends a batch in parcels, and reports whether there were tokens for all of it.
 func (q *questions) sendAll(now clock.Millis, b *batch, out *Outcome) bool {
 	q.prune(b)
 	for len(b.flows) > 0 {
@@ -188,8 +188,8 @@
 	return true
 }
 
-// cost is what a parcel takes of the budget: one for a question with its answer, and for
-// one that a relay hands on about as much as the answers of a failure domain.
+// cost is how many tokens a parcel takes: one for a question to an agent with its answer,
+// and for a question to a relay as much as the answers of a failure domain cost.
 func (b *batch) cost() float64 {
 	if b.domain == "" {
 		return 1
@@ -204,8 +204,8 @@
 	out.send(b.to, &wire.Parcel{Verb: wire.Verb_VERB_ASK, Number: q.lastNumber, Questions: b.encoded})
 }
 
-// asked returns the flows of a question that an agent of a failure domain answers. An
-// agent that was asked itself answers once.
+// answeredFlows returns the flows of a batch that an agent of a failure domain answers. A
+// batch to a single agent is answered once.
 func (q *questions) answeredFlows(number uint32, from netip.AddrPort, domain string) []segment.Flow {
 	b := q.sent[number]
 	switch {
@@ -223,7 +223,7 @@
 	return b.flows
 }
 
-// eachQuestion reads the questions of a parcel.
+// eachQuestion calls each for the questions of a parcel.
 func eachQuestion(b []byte, each func(id segment.Flow, ack uint32)) {
 	for ; len(b) >= questionSize; b = b[questionSize:] {
 		id, err := segment.ParseFlow(b[:questionSize-4])
--- a/internal/connection/stream/queue.go
+++ b/internal/connection/stream/queue.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// waitFor is how long an opening waits for a route or a target. Its caller sends
-	// a copy by then.
+	// queueTimeout is how long an opening packet waits for a route or a target. Its
+	// caller retransmits it by then.
 	queueTimeout = 400 * clock.Millis(1)
-	// startFor is how long a balancer that has started may lack routes and targets
-	// that are there.
+	// startupPeriod is how long after its start a balancer may not know all routes and
+	// targets yet.
 	startupPeriod = 2 * clock.Second
-	// mostWaiting bounds the openings that wait; a packet of one is some 40 bytes.
+	// maxQueued bounds the queued opening packets, of some 40 bytes each.
 	maxQueued = 1024
 )
 
-// waiting is an opening that came before there was a route or a target for it.
+// queuedOpening is an opening packet that arrived before there was a route or a target for it.
 type queuedOpening struct {
 	id       segment.Flow
 	queuedAt clock.Millis
 	packet   []byte
-	// tried is how many targets have turned it away.
+	// tried is how many targets have declined it.
 	tried int
 }
 
-// wait keeps an opening until there is a route and a target for it. It reports whether
-// it does: a balancer that has run for a while knows who is there.
+// queueAtStartup queues an opening packet until there is a route and a target for it, and
+// reports whether it did: after the startup period a balancer knows all targets.
 func (s *Steerer) queueAtStartup(now clock.Millis, id segment.Flow, packet []byte, reason string) bool {
 	return now.Sub(s.started) <= startupPeriod && s.queueOpening(now, queuedOpening{id: id, queuedAt: now, packet: packet}, reason)
 }
 
-// hold keeps an opening until there is a target for it, and reports whether it does: there is
-// room, and its caller has not waited for too long.
-func (s *Steerer) queueOpening(now clock.Millis, w queuedOpening, reason string) bool {
-	if len(s.queued) >= maxQueued || now.Sub(w.queuedAt) > queueTimeout {
+// queueOpening queues an opening packet until there is a target for it. It reports whether it
+// did: there is room in the queue, and the packet has not timed out.
+func (s *Steerer) queueOpening(now clock.Millis, o queuedOpening, reason string) bool {
+	if len(s.queued) >= maxQueued || now.Sub(o.queuedAt) > queueTimeout {
 		return false
 	}
-	w.packet = slices.Clone(w.packet)
-	s.queued = append(s.queued, w)
-	s.out.record(Event{Kind: Queued, Flow: w.id, Reason: reason, Count: len(s.queued), Version: s.version()})
+	o.packet = slices.Clone(o.packet)
+	s.queued = append(s.queued, o)
+	s.out.record(Event{Kind: Queued, Flow: o.id, Reason: reason, Count: len(s.queued), Version: s.version()})
 	return true
 }
 
-// retry opens the flows that wait and have a route and a target now, in the order in
-// which they came. The copy of one that was opened is over.
+// retryQueued sends the queued opening packets for which there is a route and a target now,
+// in the order of their arrival. Retransmissions for a flow that is already open are dropped.
 func (s *Steerer) retryQueued(now clock.Millis) {
 	if len(s.queued) == 0 {
 		return
@@ -55,43 +55,44 @@
 	due := s.queued
 	s.queued = nil
 	full := map[destination]bool{}
-	for _, w := range due {
+	for _, o := range due {
 		switch {
-		case s.flows.Contains(w.id):
-		case now.Sub(w.queuedAt) > queueTimeout:
-			s.expireQueued(now, w)
-		case s.canResolve(now, w.id, full):
-			f := &flow{openedAt: w.queuedAt}
-			s.flows.Add(w.id, f)
-			s.handleOpening(now, w.id, f, w.packet)
+		case s.flows.Contains(o.id):
+		case now.Sub(o.queuedAt) > queueTimeout:
+			s.expireQueued(now, o)
+		case s.canResolve(now, o.id, full):
+			f := &flow{openedAt: o.queuedAt}
+			s.flows.Add(o.id, f)
+			s.handleOpening(now, o.id, f, o.packet)
 		default:
-			s.queued = append(s.queued, w)
+			s.queued = append(s.queued, o)
 		}
 	}
 }
 
-// expire ends the wait of an opening. The caller of one that targets have turned away is told
-// that nothing has run; that of another one sends a copy, which may find a target.
-func (s *Steerer) expireQueued(now clock.Millis, w queuedOpening) {
-	if w.tried == 0 {
+// expireQueued drops a queued opening packet. If targets have declined it, its caller is
+// reset, since no request has run; otherwise the caller retransmits it and may find a target.
+func (s *Steerer) expireQueued(now clock.Millis, o queuedOpening) {
+	if o.tried == 0 {
 		return
 	}
-	s.out.Resets = append(s.out.Resets, Reset{Flow: w.id})
+	s.out.Resets = append(s.out.Resets, Reset{Flow: o.id})
 	s.out.record(Event{
-		Kind: Refused, Flow: w.id, Reason: "every target turned it away", Age: now.Sub(w.queuedAt), Count: w.tried,
+		Kind: Refused, Flow: o.id, Reason: "every target turned it away", Age: now.Sub(o.queuedAt), Count: o.tried,
 		Version: s.version(),
 	})
 }
 
-// wanted is what openings that wait have in common: what has no target for one of them has
+// destination groups queued opening packets: if there is no target for one of them, there is
 // none for the others.
 type destination struct {
 	listener netip.AddrPort
 	service  string
 }
 
-// served reports that an opening would get an answer: a target takes it, there is no
-// listener, or it is certain that nothing may take it. full are those that are known to have none.
+// canResolve reports that an opening packet would get an answer: a target takes it, there is
+// no listener, or it is certain that no target may take it. full holds the destinations
+// without a target.
 func (s *Steerer) canResolve(now clock.Millis, id segment.Flow, full map[destination]bool) bool {
 	if s.table == nil || s.blind() && now.Sub(s.started) <= startupPeriod {
 		return false
@@ -100,8 +101,8 @@
 	if err != nil {
 		return true
 	}
-	w := destination{listener: id.Listener, service: service}
-	d := Demand{Service: service, Homes: s.table.Homes(id), Warming: s.warmingRate(service)}
-	full[w] = full[w] || !s.Targets.ready(now, &d) && (!s.knowsTargets(now) || s.Targets.barred(now, &d) == "")
-	return !full[w]
+	dest := destination{listener: id.Listener, service: service}
+	demand := Demand{Service: service, Homes: s.table.Homes(id), Warming: s.warmingRate(service)}
+	full[dest] = full[dest] || !s.Targets.ready(now, &demand) && (!s.knowsTargets(now) || s.Targets.barred(now, &demand) == "")
+	return !full[dest]
 }
--- a/internal/connection/stream/queue_test.go
+++ b/internal/connection/stream/queue_test.go
@@ -9,14 +9,14 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// opens sends the opening of a caller's flow to a balancer.
+// sendOpening sends the opening packet of a caller's flow to a balancer.
 func sendOpening(s *Steerer, now clock.Millis, i int) {
 	id := callerFlow(i)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
 	s.HandlePacket(now, decode(packet), packet)
 }
 
-// opened counts the openings that a balancer has sent to targets.
+// countOpenings counts the opening packets that a balancer has sent to targets.
 func countOpenings(s *Steerer) int {
 	n := 0
 	for _, send := range s.Take().Sends {
@@ -45,9 +45,9 @@
 	}}, nil)
 }
 
-// All VMs lost power, and a crowd comes back while a balancer starts. Its openings wait
-// for the route and for a target, in either order, and each is sent once: half of the
-// crowd's patience is gone when the next copies come.
+// After all VMs lost power, many callers reconnect while a balancer starts. Their opening
+// packets must wait for the route and for a target, in either order, and each must be sent
+// once: by the time of the retransmission half of the callers' timeout has passed.
 func TestOpeningsQueueDuringStart(t *testing.T) {
 	for _, routeFirst := range []bool{true, false} {
 		s := NewSteerer(testNow, Settings{Domain: "a", MaxFlows: 1000, FlowTTL: testFlowTTL})
@@ -56,7 +56,7 @@
 			sendOpening(s, testNow+20, i)
 		}
 		if n := countOpenings(s); n != 0 {
-			t.Fatalf("%d openings were sent to nobody", n)
+			t.Fatalf("%d opening packets were sent without a target", n)
 		}
 		table := newTestTable(t)
 		if routeFirst {
@@ -65,7 +65,7 @@
 			reportReadyTarget(s, testNow+60)
 		}
 		if n := countOpenings(s); n != 0 {
-			t.Fatalf("%d openings were sent too early", n)
+			t.Fatalf("%d opening packets were sent too early", n)
 		}
 		if routeFirst {
 			reportReadyTarget(s, testNow+120)
@@ -73,17 +73,17 @@
 			s.SetTable(testNow+120, table)
 		}
 		if n := countOpenings(s); n != 50 {
-			t.Errorf("route first %v: %d of 50 openings were sent", routeFirst, n)
+			t.Errorf("route first %v: %d of 50 opening packets were sent", routeFirst, n)
 		}
 		s.Tick(testNow + 200)
 		if n := countOpenings(s); n != 0 {
-			t.Errorf("%d openings were sent twice", n)
+			t.Errorf("%d opening packets were sent twice", n)
 		}
 	}
 }
 
-// Callers at an address that the first version does not have wait for that version, and
-// are told then.
+// Callers at an address without a listener in the first routing table wait for that table,
+// and are then reset.
 func TestQueuedOpeningWithoutListener(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", MaxFlows: 1000, FlowTTL: testFlowTTL})
 	id := segment.Flow{Caller: callerFlow(1).Caller, Listener: testAddress(9, 9)}
@@ -95,28 +95,28 @@
 	}
 }
 
-// Nothing comes up: openings wait no longer than until their callers' next copies, in a
-// bounded number, and not at all at a balancer that has run for a while.
+// No target starts: opening packets must be queued no longer than until their callers
+// retransmit, in a bounded number, and not at all after a balancer's startup period.
 func TestQueueIsBounded(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", MaxFlows: 10_000, FlowTTL: testFlowTTL})
 	for i := range 2 * maxQueued {
 		sendOpening(s, testNow+10, i)
 	}
 	if len(s.queued) != maxQueued {
-		t.Errorf("%d openings wait", len(s.queued))
+		t.Errorf("%d opening packets are queued", len(s.queued))
 	}
 	s.SetTable(testNow+20, newTestTable(t))
 	s.Tick(testNow + 11 + queueTimeout)
 	if len(s.queued) != 0 {
-		t.Errorf("%d openings wait on", len(s.queued))
+		t.Errorf("%d opening packets are still queued", len(s.queued))
 	}
 	reportReadyTarget(s, testNow+12+queueTimeout)
 	if n := countOpenings(s); n != 0 {
-		t.Errorf("%d old openings were sent", n)
+		t.Errorf("%d old opening packets were sent", n)
 	}
 	late := NewSteerer(testNow, Settings{Domain: "a", MaxFlows: 10_000, FlowTTL: testFlowTTL})
 	sendOpening(late, testNow+startupPeriod+1, 1)
 	if len(late.queued) != 0 {
-		t.Error("an opening waits at a balancer that knows who is there")
+		t.Error("an opening packet is queued after the startup period")
 	}
 }
--- a/internal/connection/stream/search.go
+++ b/internal/connection/stream/search.go
@@ -9,92 +9,91 @@
 )
 
 const (
-	// nearStage and wideStage are how long a search waits for its first two
-	// circles of targets: some round trips inside a failure domain, and between
-	// them.
+	// domainTimeout and serviceTimeout are how long a search waits for the targets of
+	// its first two scopes: some round trips within a failure domain, and between
+	// domains.
 	domainTimeout  = 15 * clock.Millis(1)
 	serviceTimeout = 60 * clock.Millis(1)
-	// unsureStage is how long a circle is given in which a target was handed the
-	// packet, because its agent is unsure, and has not returned it. A target
-	// returns a packet within a millisecond and answers a request in some tens;
-	// one whose agent has just started among all others needs longer.
+	// unsureTimeout is how long a search waits in a scope in which the packet was
+	// forwarded to a target whose agent is unsure, and the target has not returned it.
+	// A target returns a packet within a millisecond and answers a request within
+	// some tens of them; when all agents have just started, it takes longer.
 	unsureTimeout = 700 * clock.Millis(1)
-	// behindStage is how long a circle is given while questions wait for their budget.
+	// throttledTimeout is how long a search waits in a scope while questions are rate limited.
 	throttledTimeout = 400 * clock.Millis(1)
-	// askAgain is the pause before questions without answer are repeated; it
+	// initialRetryDelay is the delay before unanswered questions are repeated; it
 	// doubles each time. Thousands of searches at once, after all VMs lost power,
-	// must not fill the links that their answers need.
+	// must not saturate the links that their answers need.
 	initialRetryDelay = 100 * clock.Millis(1)
-	// searchFor is how long a search goes on. By then the caller has sent its
-	// packet again, which begins the next search.
+	// searchTimeout is the maximum duration of a search. By then the caller has
+	// retransmitted its packet, which starts the next search.
 	searchTimeout = clock.Second
-	// mostKept bounds the packets that a search keeps. A caller has at most 16
-	// in flight.
+	// maxSearchPackets bounds the packets that a search buffers. A caller has at most
+	// 16 in flight.
 	maxSearchPackets = 16
-	// mostSearches bounds the searches under way: packets of flows that nobody
-	// owns must not cost more than the flows that are there. mostAsked bounds what
-	// they remember of targets, some 120 bytes each: 18 MB of the 120 that a
-	// small VM has. leastSearches is how many there may be among any number of
-	// targets.
+	// maxSearches bounds the searches under way: packets of flows without an owner
+	// must not cost more than the existing flows. maxSearchAnswers bounds the answers
+	// stored per target in all searches, some 120 bytes each: 18 MB of the 120 MB that
+	// a small VM has. minSearches are allowed however many targets there are.
 	maxSearches      = 4096
 	maxSearchAnswers = 150_000
 	minSearches      = 64
-	// mostKeptBytes bounds the packets that all searches keep together.
+	// maxBufferedBytes bounds the packets that all searches buffer together.
 	maxBufferedBytes = 8 << 20
 )
 
-// stage is how wide a search has become.
+// scope is the set of targets that a search asks.
 type scope int
 
 const (
-	// near asks the targets in the balancer's failure domain that may own the
-	// flow, wide those everywhere, and all also those of other services: what
-	// the listener went to before this process started is not known.
+	// scopeDomain are the targets in the balancer's failure domain that may own the
+	// flow, scopeService those in all domains. scopeAll adds the targets of other
+	// services: the routes of the listener before this process started are unknown.
 	scopeDomain scope = iota
 	scopeService
 	scopeAll
 )
 
-// search is a balancer's question who owns a flow. Thousands may be under way at
-// a balancer with a small part of a core, so a search is looked at only when an
-// answer comes or its time is due.
+// search looks for the owner of a flow. Thousands may be under way at a balancer
+// with a small share of a core, so a search is processed only when an answer arrives
+// or its deadline is due.
 type search struct {
-	id   segment.Flow
-	flow *flow
-	// over tells that the search has ended.
+	id        segment.Flow
+	flow      *flow
 	ended     bool
 	startedAt clock.Millis
 	scope     scope
-	// known is how many targets there were when the last ones were asked, and
-	// open how many of those asked have not denied the flow, unsure how many of
-	// these were handed its packets.
+	// targetCount is how many targets were known when targets were last asked,
+	// candidates how many of those asked have not denied the flow, and unsure how many
+	// of these have an agent that is unsure.
 	targetCount int
 	candidates  int
 	unsure      int
-	// hungry tells that unsure targets wait to be handed the packet.
+	// speculationPending is set while the packet is still to be forwarded to unsure targets.
 	speculationPending bool
-	// due is when time alone changes something next, again when questions are
-	// repeated, and pause what the next pause is.
+	// nextDue is the next deadline, retryAt when questions are repeated, and
+	// retryDelay the delay after that.
 	nextDue    clock.Millis
 	retryAt    clock.Millis
 	retryDelay clock.Millis
 	packets    [][]byte
-	// kept is the size of the packets.
+	// bufferedBytes is the size of packets.
 	bufferedBytes int
 }
 
-// room is how many searches there may be, and how many flows whose denials are kept.
+// searchLimit returns the maximum number of searches under way, and of failed searches
+// whose answers are retained.
 func (s *Steerer) searchLimit() int {
 	return min(max(maxSearchAnswers/max(s.Targets.Len(), 1), minSearches), maxSearches)
 }
 
-// end takes the search off its flow.
+// finish marks the search as ended and detaches it from its flow.
 func (x *search) finish() {
 	x.ended = true
 	x.flow.search = nil
 }
 
-// begin starts a search for the owner of a flow.
+// startSearch starts a search for the owner of a flow.
 func (s *Steerer) startSearch(now clock.Millis, id segment.Flow, f *flow, packet []byte) {
 	if len(s.searches) >= s.searchLimit() {
 		s.out.record(Event{Kind: SearchFailed, Flow: id, Reason: "too many searches", Count: len(s.searches)})
@@ -113,28 +112,28 @@
 	s.advance(now, x)
 }
 
-// ask asks the targets of the search's stage that were not asked yet.
+// askTargets asks the targets in the search's scope that were not asked yet.
 func (s *Steerer) askTargets(now clock.Millis, x *search) {
 	x.targetCount = s.Targets.Len()
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.answers[t.Address]
-		if q != nil && q.search == x || !s.inScope(x.scope, x.id, t) {
+		a := x.flow.answers[t.Address]
+		if a != nil && a.search == x || !s.inScope(x.scope, x.id, t) {
 			continue
 		}
-		if q == nil {
-			q = &agentAnswer{}
-			x.flow.answers[t.Address] = q
+		if a == nil {
+			a = &agentAnswer{}
+			x.flow.answers[t.Address] = a
 		}
-		q.search, q.forwarded, q.candidate = x, 0, false
-		if q.stillDenies(now, t) {
+		a.search, a.forwarded, a.candidate = x, 0, false
+		if a.stillDenies(now, t) {
 			continue
 		}
-		q.holding = wire.Holding_HOLDING_UNKNOWN
+		a.holding = wire.Holding_HOLDING_UNKNOWN
 		if t.Lost(now) {
-			// It would not answer; it is asked if it comes back meanwhile.
+			// It would not answer; it is asked if it recovers during the search.
 			continue
 		}
-		q.candidate = true
+		a.candidate = true
 		x.candidates++
 		if relay, ok := s.Targets.Relay(now, t.Domain); ok {
 			s.questions.addRelayed(now, relay, t.Domain, x.id, x.flow.lastAck)
@@ -144,8 +143,8 @@
 	}
 }
 
-// question asks an agent itself. Those of other failure domains are asked by way of a
-// relay first; one that fails costs the pause until what was not answered is asked again.
+// askDirectly asks an agent without a relay. Agents of other failure domains are asked
+// through a relay first; if it fails, the retry delay passes before they are asked directly.
 func (s *Steerer) askDirectly(now clock.Millis, x *search, t *Target) {
 	s.questions.add(now, t.Address, t.Domain != s.settings.Domain, x.id, x.flow.lastAck)
 }
@@ -161,8 +160,9 @@
 	}
 }
 
-// advance widens a search whose present circle has denied the flow, or was
-// given its time, asks again where no answer came, and ends one that is over.
+// advance widens the scope of a search once all targets in it have denied the flow or
+// its timeout has passed, repeats unanswered questions, and ends a search that is
+// resolved or has timed out.
 func (s *Steerer) advance(now clock.Millis, x *search) {
 	if x.ended || now < x.nextDue && x.candidates > 0 && !x.onlyUnsureLeft() && x.targetCount == s.Targets.Len() {
 		return
@@ -172,7 +172,7 @@
 		return
 	}
 	if x.targetCount != s.Targets.Len() {
-		// This process has just started and learns of targets meanwhile.
+		// This process has just started and is still learning of targets.
 		s.askTargets(now, x)
 	}
 	for x.scope < scopeAll && (x.candidates == 0 || now.Sub(x.startedAt) > s.scopeTimeout(x)) {
@@ -195,17 +195,17 @@
 	}
 }
 
-// last reports that one target is left that may own the flow, and was handed its
-// packets.
+// onlyUnsureLeft reports that a single target is left that may own the flow, and its
+// agent is unsure.
 func (x *search) onlyUnsureLeft() bool {
 	return x.candidates == 1 && x.unsure == 1
 }
 
-// patience is how long the search's circle is given.
+// scopeTimeout returns how long the search waits before its scope is widened.
 //
-// An unsure target that does not return the packet is most likely the owner, so it is
-// given longer before the packet goes to targets everywhere. Where questions wait for
-// their budget, no answer can be expected yet.
+// An unsure target that does not return the packet is most likely the owner, so it has
+// more time before the packet goes to targets in all domains. While questions are rate
+// limited, no answer can be expected yet.
 func (s *Steerer) scopeTimeout(x *search) clock.Millis {
 	switch {
 	case x.speculationPending:
@@ -221,7 +221,7 @@
 	}
 }
 
-// repeat asks again where no answer came.
+// retryQuestions repeats unanswered questions.
 func (s *Steerer) retryQuestions(now clock.Millis, x *search) {
 	if now < x.retryAt {
 		return
@@ -231,36 +231,36 @@
 		return
 	}
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.answers[t.Address]
-		if q != nil && q.search == x && q.holding == wire.Holding_HOLDING_UNKNOWN && !t.Lost(now) {
+		a := x.flow.answers[t.Address]
+		if a != nil && a.search == x && a.holding == wire.Holding_HOLDING_UNKNOWN && !t.Lost(now) {
 			s.askDirectly(now, x, t)
 		}
 	}
 }
 
-// unowned reports that no target holds the flow: each that there is has said so,
+// deniedByAll reports that no target holds the flow: each known target has denied it
 // or is lost.
 //
-// A wrong reset would break a flow that is well, so it takes the word of every target,
-// also of those that have just started, and balancers that agree on who they are.
+// A wrong reset would break a healthy flow, so every target must have answered,
+// including those that have just started, and balancers must agree on the set of targets.
 func (s *Steerer) deniedByAll(now clock.Millis, x *search) bool {
 	if !s.mayReset(now) {
 		return false
 	}
 	unowned := true
 	s.Targets.Each(func(t *Target) {
-		q := x.flow.answers[t.Address]
-		if q == nil || q.search != x || q.holding != wire.Holding_HOLDING_NOT && !t.Lost(now) {
+		a := x.flow.answers[t.Address]
+		if a == nil || a.search != x || a.holding != wire.Holding_HOLDING_NOT && !t.Lost(now) {
 			unowned = false
 		}
 	})
 	return unowned
 }
 
-// heard takes an answer to a search.
+// handleSearchAnswer handles an agent's answer during a search.
 func (s *Steerer) handleSearchAnswer(now clock.Millis, id segment.Flow, f *flow, from netip.AddrPort, holding wire.Holding) {
-	q := f.answers[from]
-	if q == nil || q.search != f.search {
+	a := f.answers[from]
+	if a == nil || a.search != f.search {
 		return
 	}
 	switch holding {
@@ -269,8 +269,8 @@
 	case wire.Holding_HOLDING_NOT:
 		s.handleDenial(now, f, from)
 	case wire.Holding_HOLDING_UNSURE:
-		if q.holding == wire.Holding_HOLDING_UNKNOWN && s.maySpeculate(id, from) {
-			q.holding = holding
+		if a.holding == wire.Holding_HOLDING_UNKNOWN && s.maySpeculate(id, from) {
+			a.holding = holding
 			f.search.unsure++
 			f.search.speculationPending = true
 			s.speculate(now, f.search)
@@ -279,30 +279,30 @@
 	}
 }
 
-// denied notes that a target does not hold the flow.
+// handleDenial records that a target does not hold the flow.
 func (s *Steerer) handleDenial(now clock.Millis, f *flow, from netip.AddrPort) {
-	q := f.answers[from]
-	if q == nil || q.search != f.search {
+	a := f.answers[from]
+	if a == nil || a.search != f.search {
 		return
 	}
-	if q.candidate {
-		q.candidate = false
+	if a.candidate {
+		a.candidate = false
 		f.search.candidates--
 	}
-	wasUnsure := q.holding == wire.Holding_HOLDING_UNSURE
-	q.holding, q.deniedAt = wire.Holding_HOLDING_NOT, now
+	wasUnsure := a.holding == wire.Holding_HOLDING_UNSURE
+	a.holding, a.deniedAt = wire.Holding_HOLDING_NOT, now
 	if wasUnsure {
 		f.search.unsure--
 		s.forwardToUnsure(f.search)
 	}
 	if t, ok := s.Targets.Find(from); ok {
-		q.deniedBy = process{epoch: t.Epoch, born: t.Born}
+		a.deniedBy = process{epoch: t.Epoch, born: t.Born}
 	}
 	s.advance(now, f.search)
 }
 
-// found ends a search at the flow's owner, which gets the packets that it was
-// not handed yet.
+// ownerFound ends a search with the flow's owner, and forwards to it the buffered
+// packets that it has not received yet.
 func (s *Steerer) ownerFound(now clock.Millis, id segment.Flow, f *flow, agent netip.AddrPort) {
 	x := f.search
 	t, ok := s.Targets.Find(agent)
@@ -320,15 +320,15 @@
 }
 
 func (s *Steerer) failSearch(now clock.Millis, x *search) {
-	e := Event{Kind: SearchFailed, Flow: x.id, Reason: "nobody holds it", Age: now.Sub(x.startedAt), Version: s.version()}
+	e := Event{Kind: SearchFailed, Flow: x.id, Reason: "no owner was found", Age: now.Sub(x.startedAt), Version: s.version()}
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.answers[t.Address]
+		a := x.flow.answers[t.Address]
 		switch {
-		case q == nil || q.search != x:
-		case q.holding == wire.Holding_HOLDING_NOT:
+		case a == nil || a.search != x:
+		case a.holding == wire.Holding_HOLDING_NOT:
 			e.Count++
-		case q.holding == wire.Holding_HOLDING_UNKNOWN:
-			e.Reason, e.Target, e.Name = "targets are silent", t.Address, t.Name
+		case a.holding == wire.Holding_HOLDING_UNKNOWN:
+			e.Reason, e.Target, e.Name = "a target did not answer", t.Address, t.Name
 		default:
 			e.Reason, e.Target, e.Name = "a target is unsure", t.Address, t.Name
 		}
--- a/internal/connection/stream/search_test.go
+++ b/internal/connection/stream/search_test.go
@@ -13,9 +13,9 @@
 
 var testFlow = segment.Flow{Caller: netip.MustParseAddrPort("100.64.0.7:1025"), Listener: testListener}
 
-// searching returns a balancer in domain a that knows near and far targets of
-// service one, and has just been sent a packet of a flow that it does not know.
-func newSearchingSteerer(t *testing.T, near, far int) (*Steerer, []byte) {
+// newSearchingSteerer returns a balancer in domain a that knows targets of service one in
+// domains a (local) and b (remote), and has just received a packet of an unknown flow.
+func newSearchingSteerer(t *testing.T, local, remote int) (*Steerer, []byte) {
 	t.Helper()
 	s := NewSteerer(0, Settings{Domain: "a", MaxFlows: 100, FlowTTL: testFlowTTL})
 	table := &routing.Table{Version: 1, Listeners: []routing.Listener{
@@ -25,9 +25,9 @@
 		t.Fatal(err)
 	}
 	s.SetTable(testNow, table)
-	for i := range near + far {
+	for i := range local + remote {
 		domain := "a"
-		if i >= near {
+		if i >= local {
 			domain = "b"
 		}
 		s.HandleParcel(testNow, testAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: &wire.Report{
@@ -46,7 +46,7 @@
 	})
 }
 
-// sent counts what was sent by verb and target since the last call.
+// countSends counts the parcels sent since the last call by verb and target.
 func countSends(s *Steerer) map[wire.Verb]map[netip.AddrPort]int {
 	all := map[wire.Verb]map[netip.AddrPort]int{}
 	for _, send := range s.Take().Sends {
@@ -65,10 +65,10 @@
 	}, nil)
 }
 
-// All balancers and agents were killed, the targets live on: every agent is unsure.
-// The caller waits for the answer to one request. Its packet goes to the targets
-// of the own failure domain once each; the one that does not return it gets what
-// follows, also before it has answered, and nothing crosses domains meanwhile.
+// All balancers and agents were killed while the targets stay alive, so every agent is
+// unsure. The caller's packet must go once to each target of the balancer's failure domain;
+// the one that does not return it must get the following packets even before it answers,
+// and none may go to another domain.
 func TestSearchAmongUnsure(t *testing.T) {
 	s, packet := newSearchingSteerer(t, 3, 6)
 	if asked := countSends(s)[wire.Verb_VERB_ASK]; len(asked) != 3 {
@@ -77,10 +77,10 @@
 	for i := range 3 {
 		sendAnswer(s, testNow+1, i, wire.Holding_HOLDING_UNSURE)
 	}
-	handed := countSends(s)[wire.Verb_VERB_CARRY]
+	forwarded := countSends(s)[wire.Verb_VERB_CARRY]
 	for i := range 3 {
-		if handed[testAddress(2, i)] != 1 {
-			t.Errorf("packets handed: %v, want one to each of three targets", handed)
+		if forwarded[testAddress(2, i)] != 1 {
+			t.Errorf("packets forwarded: %v, want one to each of three targets", forwarded)
 		}
 	}
 	s.HandlePacket(testNow+2, decode(packet), packet)
@@ -91,7 +91,7 @@
 	s.Tick(testNow + 60)
 	all := countSends(s)
 	if got := all[wire.Verb_VERB_CARRY]; len(got) != 1 || got[testAddress(2, 2)] != 1 {
-		t.Errorf("packets handed: %v, want the second one to the last target, the repeated one to nobody", got)
+		t.Errorf("packets forwarded: %v, want the second one to the last target, the retransmitted one to none", got)
 	}
 	if asked := all[wire.Verb_VERB_ASK]; len(asked) > 0 {
 		t.Errorf("asked other failure domains: %v", asked)
@@ -103,10 +103,10 @@
 	}
 }
 
-// All other targets have denied the flow: the last one, whose agent is unsure, is
-// its owner, also if it needs to answer nothing. A balancer that has just started
-// may not know the owner at all: it must not take the last one that it knows for it,
-// or all packets of the flow go to a target that does not hold it.
+// All other targets have denied the flow: the last one, whose agent is unsure, is its
+// owner, even if the packet requires no answer. A balancer that has just started may not
+// know the owner at all: if it assumed that the last known target is the owner, all packets
+// of the flow would go to a target that does not hold it.
 func TestSearchByElimination(t *testing.T) {
 	for _, settled := range []bool{true, false} {
 		s, _ := newSearchingSteerer(t, 1, 2)
@@ -119,7 +119,7 @@
 		s.Tick(widened + 20)
 		f, ok := s.flows.Peek(testFlow)
 		if !ok {
-			t.Fatal("the flow is forgotten")
+			t.Fatal("the flow was removed")
 		}
 		if found := f.owner == confirmedBy(testAddress(2, 0)); found != settled {
 			t.Errorf("settled %v: the flow's owner is %+v", settled, f)
@@ -127,9 +127,9 @@
 	}
 }
 
-// Nobody holds the flow and everybody has said so. The caller is reset only if
-// this balancer knows all targets that others do; otherwise it hears nothing, for
-// the owner may be one that this balancer has not heard of.
+// No target holds the flow and all have denied it. The caller may be reset only if this
+// balancer knows all targets that others know; otherwise the owner may be a target that
+// this balancer does not know yet.
 func TestResetNeedsAgreement(t *testing.T) {
 	for _, settled := range []bool{false, true} {
 		s, _ := newSearchingSteerer(t, 1, 1)
@@ -143,8 +143,8 @@
 	}
 }
 
-// A flow's next search does not ask again who has denied it a moment ago, unless
-// the target or its agent has started anew since.
+// A flow's next search must not ask the targets again that have just denied it, unless
+// the target or its agent has restarted since.
 func TestDenialsAreReused(t *testing.T) {
 	s, packet := newSearchingSteerer(t, 2, 0)
 	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
@@ -158,14 +158,13 @@
 	}}, nil)
 	s.HandlePacket(later+1, decode(packet), packet)
 	if asked := countSends(s)[wire.Verb_VERB_ASK]; len(asked) != 1 || asked[testAddress(2, 1)] != 1 {
-		t.Errorf("asked %v, want only the target whose agent has started anew", asked)
+		t.Errorf("asked %v, want only the target whose agent has restarted", asked)
 	}
 }
 
-// Everything was killed but the targets, and the packets of two hundred flows
-// arrive at one small balancer. What it hands to unsure targets stays within its
-// budget, and the oldest searches come first, so that they end instead of all
-// being late.
+// All processes but the targets were killed, and packets of two hundred flows arrive at
+// one small balancer. Forwarding to unsure targets must stay within its rate limit, and the
+// oldest searches must come first, so that some end instead of all being late.
 func TestSpeculationWithinBudget(t *testing.T) {
 	const targets, flows = 20, 200
 	s, _ := newSearchingSteerer(t, targets, 0)
@@ -173,7 +172,7 @@
 	id := func(i int) segment.Flow {
 		return segment.Flow{Caller: netip.AddrPortFrom(testFlow.Caller.Addr(), uint16(2000+i)), Listener: testListener}
 	}
-	first, total := 0, 0
+	oldest, total := 0, 0
 	count := func(out Outcome) {
 		for _, send := range out.Sends {
 			if send.Parcel.Verb != wire.Verb_VERB_CARRY {
@@ -181,7 +180,7 @@
 			}
 			total++
 			if decode(send.Parcel.Packet).Source.Port() < 2010 {
-				first++
+				oldest++
 			}
 		}
 	}
@@ -201,17 +200,17 @@
 		s.Tick(at)
 		count(s.Take())
 	}
-	if most := int(speculativeBurst + speculativeRate/2); total > most || total < most*9/10 {
-		t.Errorf("%d packets were handed over in half a second, want up to %d", total, most)
+	if limit := int(speculativeBurst + speculativeRate/2); total > limit || total < limit*9/10 {
+		t.Errorf("%d packets were forwarded in half a second, want up to %d", total, limit)
 	}
-	if first != 10*targets {
-		t.Errorf("the ten oldest searches handed over %d packets, want %d", first, 10*targets)
+	if oldest != 10*targets {
+		t.Errorf("the ten oldest searches forwarded %d packets, want %d", oldest, 10*targets)
 	}
 }
 
-// A VM was taken away and its target counts as lost. A caller's flow is searched:
-// the lost target is not asked, for it cannot answer, and once the others have denied
-// the flow its caller is reset without waiting for another round of questions.
+// A VM was removed and its target is lost. A search must not ask the lost target, since
+// it cannot answer, and once the others have denied the flow its caller must be reset
+// without waiting for another round of questions.
 func TestLostTargetIsNotAsked(t *testing.T) {
 	s, _ := newSearchingSteerer(t, 2, 0)
 	s.SetSettled(true)
@@ -241,10 +240,9 @@
 	}
 }
 
-// Hundreds of flows are searched at a small balancer, a packet of one every
-// millisecond. Their questions to one target leave together, so that its processor
-// has time for the answers: it sends each target at most one datagram in the longest
-// pause, and half a second of them is a tenth of the flows.
+// A small balancer searches the owners of hundreds of flows, one new flow per millisecond.
+// Their questions to one target must be batched, so that its CPU has time for the answers:
+// in half a second, at most one datagram to each target for ten flows.
 func TestQuestionsAreBatchedUnderLoad(t *testing.T) {
 	s, _ := newSearchingSteerer(t, 3, 0)
 	s.Take()
@@ -262,12 +260,12 @@
 	}
 }
 
-// All VMs lost power, and a balancer with a small part of a core is sent packets of lost
-// flows while there are hundreds of targets. What it asks stays within what it can work
-// on, and all the same each agent is asked about each flow. A single search does not wait.
+// All VMs lost power, and a balancer with a small share of a core receives packets of lost
+// flows while there are hundreds of targets. Its questions must stay within its rate limit,
+// and still each local agent must be asked about each flow. A single search is not delayed.
 func TestQuestionsWithinCPUShare(t *testing.T) {
-	const near, far, flows, share = 41, 163, 40, 60
-	s, _ := newSearchingSteerer(t, near, far)
+	const local, remote, flows, share = 41, 163, 40, 60
+	s, _ := newSearchingSteerer(t, local, remote)
 	s.questions = newQuestions(share, s.isSearching)
 	s.Take()
 	ask := func(i int, now clock.Millis) {
@@ -277,8 +275,8 @@
 		s.HandlePacket(now, decode(packet), packet)
 	}
 	ask(0, testNow)
-	if got := len(countSends(s)[wire.Verb_VERB_ASK]); got != near {
-		t.Errorf("a single search asked %d targets at once, want the %d near ones", got, near)
+	if got := len(countSends(s)[wire.Verb_VERB_ASK]); got != local {
+		t.Errorf("a single search asked %d targets at once, want the %d local ones", got, local)
 	}
 	parcels, asked := 0, map[segment.Flow]map[netip.AddrPort]bool{}
 	end := testNow + 4*clock.Second
@@ -300,20 +298,20 @@
 			})
 		}
 	}
-	if most := int(minBurst + batchesPerCore*share/1000*4); parcels > most {
-		t.Errorf("%d parcels of questions in four seconds, want up to %d", parcels, most)
+	if limit := int(minBurst + batchesPerCore*share/1000*4); parcels > limit {
+		t.Errorf("%d parcels of questions in four seconds, want up to %d", parcels, limit)
 	}
 	for i := 1; i <= flows; i++ {
 		id := segment.Flow{Caller: testAddress(100, i), Listener: testListener}
-		if got := len(asked[id]); got < near {
-			t.Errorf("%d agents were asked about flow %d, want the %d near ones at least", got, i, near)
+		if got := len(asked[id]); got < local {
+			t.Errorf("%d agents were asked about flow %d, want at least the %d local ones", got, i, local)
 		}
 	}
 }
 
-// Somebody sends packets of ever new flows, which no target holds: thousands at one
-// moment, and then faster than searches end. The balancer's memory stays bounded: it keeps a bounded number of
-// searches and bytes, and forgets what agents said of a flow once it no longer holds.
+// Packets of new flows that no target holds keep arriving: thousands at once, and then
+// faster than searches end. The balancer's memory must stay bounded: it keeps a bounded
+// number of searches and bytes, and drops the answers about a flow when they expire.
 func TestFailedSearchesAreBounded(t *testing.T) {
 	s, _ := newSearchingSteerer(t, 4, 0)
 	s.flows.Resize(6 * maxSearches)
@@ -330,30 +328,30 @@
 		}
 		s.Take()
 		if len(s.searches) > s.searchLimit() || len(s.failedSearches) > s.searchLimit() || s.bufferedBytes > maxBufferedBytes {
-			t.Fatalf("%d searches, %d denials, %d bytes are kept", len(s.searches), len(s.failedSearches), s.bufferedBytes)
+			t.Fatalf("%d searches, %d failed searches, %d bytes are kept", len(s.searches), len(s.failedSearches), s.bufferedBytes)
 		}
 	}
 	for end := now + searchTimeout + denialTTL + clock.Second; now < end; now += 50 {
 		s.Tick(now)
 	}
 	if len(s.searches) > 0 || len(s.failedSearches) > 0 || s.bufferedBytes != 0 {
-		t.Errorf("afterwards %d searches, %d denials and %d bytes are left", len(s.searches), len(s.failedSearches), s.bufferedBytes)
+		t.Errorf("afterwards %d searches, %d failed searches and %d bytes are left", len(s.searches), len(s.failedSearches), s.bufferedBytes)
 	}
 	for _, id := range s.flows.Keys() {
 		if f, ok := s.flows.Peek(id); ok && f.answers != nil {
-			t.Fatalf("what agents said of %s is kept for ever", id)
+			t.Fatalf("the answers about flow %s are never dropped", id)
 		}
 	}
 }
 
-// Packets of ever new flows that nobody holds come in faster than their questions can be
-// sent. What waits stays within what is searched, and no parcel asks about a flow whose
-// search is over.
+// Packets of new flows that no target holds arrive faster than their questions can be
+// sent. The pending questions must stay bounded by the searches, and no parcel may ask
+// about a flow whose search has ended.
 func TestPendingQuestionsAreBounded(t *testing.T) {
 	s, _ := newSearchingSteerer(t, 2, 60)
 	s.flows.Resize(6 * maxSearches)
 	s.questions = newQuestions(10, s.isSearching)
-	now, vain := testNow, 0
+	now, stale := testNow, 0
 	for i := range 20_000 {
 		packet := encode(segment.Segment{
 			Source: testAddress(100+i>>16, i), Destination: testListener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100,
@@ -366,24 +364,24 @@
 		for _, send := range s.Take().Sends {
 			eachQuestion(send.Parcel.Questions, func(id segment.Flow, _ uint32) {
 				if !s.isSearching(id) {
-					vain++
+					stale++
 				}
 			})
 		}
 		for _, b := range s.questions.pending {
 			if len(b.flows) > 2*s.searchLimit()+maxBatchSize {
-				t.Fatalf("%d questions wait for one target", len(b.flows))
+				t.Fatalf("%d questions are pending for one target", len(b.flows))
 			}
 		}
 	}
-	if vain > 0 {
-		t.Errorf("%d questions were about flows whose searches were over", vain)
+	if stale > 0 {
+		t.Errorf("%d questions were about flows whose searches had ended", stale)
 	}
 }
 
-// A target far away is unsure as well, and hundreds of flows are searched. What may
-// be handed over goes to the own failure domain first, which most flows never
-// leave; a single search far away still gets its packet through.
+// A target in another failure domain is unsure too, and hundreds of searches are under way.
+// Packets must be forwarded to the balancer's own domain first, which most flows never
+// leave; a single search in another domain still gets its packet forwarded.
 func TestSpeculationPrefersOwnDomain(t *testing.T) {
 	s, packet := newSearchingSteerer(t, 1, 1)
 	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
@@ -392,24 +390,24 @@
 	s.speculativeTokens, s.speculativeRefilled = speculativeReserve-1, testNow+11
 	sendAnswer(s, testNow+11, 1, wire.Holding_HOLDING_UNSURE)
 	if got := countSends(s)[wire.Verb_VERB_CARRY]; len(got) != 0 {
-		t.Errorf("what is kept for the own failure domain went to %v", got)
+		t.Errorf("the tokens reserved for the own failure domain were used for %v", got)
 	}
 	s.HandlePacket(testNow+12, decode(packet), packet)
 	s.Tick(testNow + 30)
 	if got := countSends(s)[wire.Verb_VERB_CARRY]; got[testAddress(2, 1)] != 1 {
-		t.Errorf("packets handed once there is room: %v", got)
+		t.Errorf("packets forwarded once there are tokens: %v", got)
 	}
 }
 
-// A caller's packet begins a search, and its opening, sent a moment earlier, comes
-// after it: paths differ. The search goes on to wider circles and the opening to a
-// target; the balancer must outlive both.
+// A caller's packet starts a search, and its opening packet, sent just before, arrives after
+// it over another path. The search widens its scope while the opening packet goes to a
+// target; the balancer must not panic.
 func TestOpeningDuringSearch(t *testing.T) {
 	s, _ := newSearchingSteerer(t, 1, 2)
 	syn := encode(segment.Segment{Source: testFlow.Caller, Destination: testFlow.Listener, Flags: segment.Opens})
 	s.HandlePacket(testNow+1, decode(syn), syn)
 	if countSends(s)[wire.Verb_VERB_OPEN] == nil {
-		t.Error("the opening went nowhere")
+		t.Error("the opening packet was not sent to a target")
 	}
 	for i := range 3 {
 		sendAnswer(s, testNow+clock.Millis(2+i), i, wire.Holding_HOLDING_NOT)
--- a/internal/connection/stream/speculation.go
+++ b/internal/connection/stream/speculation.go
@@ -9,92 +9,93 @@
 )
 
 const (
-	// fewUnsure is up to how many unsure targets get all packets of a search; the
-	// first packet alone tells the others apart.
-	maxUnsureFlooded = 2
-	// handRate and handBurst bound the packets a second that searches hand to unsure
-	// targets. At some 25 us each that is 40 % of the smallest part of a core that a
-	// balancer gets, 0.06, and leaves the rest to flows that are well.
+	// maxUnsureReceivers is the largest number of unsure targets to which all packets of
+	// a search are forwarded. If there are more, only the first packet is forwarded, which
+	// rules most of them out.
+	maxUnsureReceivers = 2
+	// speculativeRate and speculativeBurst limit the packets per second that searches
+	// forward to unsure targets. At some 25 us each that is 40 % of the smallest share of
+	// a core that a balancer gets, 0.06, and leaves the rest to healthy flows.
 	speculativeRate  = 1000.0
 	speculativeBurst = 200.0
-	// handReserve is the part of the burst that is kept for targets of the own
-	// failure domain: most flows never leave it.
+	// speculativeReserve is the part of the burst that is reserved for targets of the
+	// balancer's own failure domain: most flows never leave it.
 	speculativeReserve = 100.0
 )
 
-// mayHand reports whether a target may be handed a packet that may not be its own: what
-// callers send stays in the regions that their listener is at home in.
+// maySpeculate reports whether a packet may be forwarded to a target that may not hold
+// its flow: callers' packets must stay in the home regions of their listener.
 func (s *Steerer) maySpeculate(id segment.Flow, to netip.AddrPort) bool {
 	t, ok := s.Targets.Find(to)
 	return ok && (s.table == nil || s.Targets.home(t.Domain, s.table.Homes(id)))
 }
 
-// eliminate ends a search at the one target that is left: all others have denied
-// the flow.
+// resolveByElimination ends a search after all targets but an unsure one have denied the
+// flow: that one is the owner.
 //
-// It takes a balancer that knows all targets: one that has just started may know a
-// single one, to which the packets of flows that are well would go.
+// It is correct only at a balancer that knows all targets: one that has just started may
+// know a single target, and would send it the packets of healthy flows.
 func (s *Steerer) resolveByElimination(now clock.Millis, x *search) {
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.answers[t.Address]
-		if q != nil && q.search == x && q.holding == wire.Holding_HOLDING_UNSURE {
+		a := x.flow.answers[t.Address]
+		if a != nil && a.search == x && a.holding == wire.Holding_HOLDING_UNSURE {
 			s.ownerFound(now, x.id, x.flow, t.Address)
 			return
 		}
 	}
 }
 
-// feed hands the first packet to the unsure targets that have none yet, as far as
-// the budget goes.
+// speculate forwards the first packet to the unsure targets that have none yet, while
+// there are tokens.
 //
-// After all processes were killed every agent is unsure, and handing each flow's packet
-// to each target would take a small balancer's time for many seconds. Within the budget
+// After all processes were killed every agent is unsure, and forwarding each flow's packet
+// to each target would keep a small balancer busy for many seconds. With the rate limit,
 // searches end one after the other, the oldest first.
 func (s *Steerer) speculate(now clock.Millis, x *search) {
 	s.speculativeTokens = min(s.speculativeTokens+speculativeRate*float64(now.Sub(s.speculativeRefilled))/float64(clock.Second), speculativeBurst)
 	s.speculativeRefilled = now
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.answers[t.Address]
-		if q == nil || q.search != x || q.holding != wire.Holding_HOLDING_UNSURE || q.forwarded > 0 {
+		a := x.flow.answers[t.Address]
+		if a == nil || a.search != x || a.holding != wire.Holding_HOLDING_UNSURE || a.forwarded > 0 {
 			continue
 		}
 		if s.speculativeTokens < 1 || t.Domain != s.settings.Domain && s.speculativeTokens < speculativeReserve {
 			return
 		}
 		s.speculativeTokens--
-		s.forwardBuffered(x, t.Address, q, 1)
+		s.forwardBuffered(x, t.Address, a, 1)
 	}
 	x.speculationPending = false
 }
 
-// add keeps a packet that arrives during a search, and hands it to the targets
-// that may be the owner: an earlier one may have needed no answer.
+// addPacket buffers a packet that arrives during a search, and forwards it to the targets
+// that may be the owner: an earlier packet may not have required an answer.
 func (s *Steerer) addPacket(x *search, packet []byte) {
 	s.bufferPacket(x, packet)
 	s.forwardToUnsure(x)
 }
 
-// handOn gives the rest of the packets to the last targets that may be the owner.
+// forwardToUnsure forwards all buffered packets to the few unsure targets that are left.
 func (s *Steerer) forwardToUnsure(x *search) {
-	if x.unsure == 0 || x.unsure > maxUnsureFlooded {
+	if x.unsure == 0 || x.unsure > maxUnsureReceivers {
 		return
 	}
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.answers[t.Address]
-		if q != nil && q.search == x && q.holding == wire.Holding_HOLDING_UNSURE {
-			s.forwardBuffered(x, t.Address, q, len(x.packets))
+		a := x.flow.answers[t.Address]
+		if a != nil && a.search == x && a.holding == wire.Holding_HOLDING_UNSURE {
+			s.forwardBuffered(x, t.Address, a, len(x.packets))
 		}
 	}
 }
 
-// hand gives a target the kept packets that it was not given yet, up to a number.
-// A target that does not hold the flow returns them.
-func (s *Steerer) forwardBuffered(x *search, to netip.AddrPort, q *agentAnswer, most int) {
+// forwardBuffered forwards to a target the buffered packets that it was not sent yet, of
+// the first limit ones. A target that does not hold the flow returns them.
+func (s *Steerer) forwardBuffered(x *search, to netip.AddrPort, a *agentAnswer, limit int) {
 	t, ok := s.Targets.Find(to)
 	if !ok {
 		return
 	}
-	for ; q.forwarded < min(most, len(x.packets)); q.forwarded++ {
-		s.out.send(to, &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: t.Service, Packet: x.packets[q.forwarded]})
+	for ; a.forwarded < min(limit, len(x.packets)); a.forwarded++ {
+		s.out.send(to, &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: t.Service, Packet: x.packets[a.forwarded]})
 	}
 }
--- a/internal/connection/stream/steer.go
+++ b/internal/connection/stream/steer.go
@@ -11,92 +11,93 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Settings of a Steerer.
+// Settings configures a Steerer.
 type Settings struct {
 	// Domain is the balancer's failure domain.
 	Domain string
-	// Regions tells in which region each failure domain lies.
+	// Regions maps each failure domain to its region.
 	Regions map[string]string
-	// Evacuates tells that operators evacuate failure domains here: nothing is opened
-	// until it is known which ones.
+	// AwaitEvacuations is set where operators evacuate failure domains: no flow is
+	// opened until the evacuated ones are known.
 	AwaitEvacuations bool
-	// Share is its part of a core, in thousandths; zero when not known.
+	// CPUShare is the balancer's share of a core, in thousandths; zero if unknown.
 	CPUShare uint32
-	// Address is where this balancer takes parcels.
+	// Address is where this balancer receives parcels.
 	Address netip.AddrPort
-	// Seed is a number of this balancer's own, for choices between targets that are alike.
+	// Seed differs between balancers and breaks ties between targets of equal cost.
 	Seed uint64
-	// Flows is how many flows are remembered. Beyond it the longest unused
-	// is forgotten, and its next packet starts a search.
+	// MaxFlows is the size of the flow table. Beyond it the least recently used
+	// flow is evicted, and its next packet starts a search.
 	MaxFlows int
-	// FlowLife is how long a flow may live.
+	// FlowTTL is the maximum lifetime of a flow.
 	FlowTTL clock.Millis
 }
 
-// flow is what a balancer remembers of one flow.
+// flow is the state that a balancer keeps for one flow.
 type flow struct {
 	owner   owner
 	service string
-	// homes are the regions in which it may be opened; any if there are none.
+	// homeRegions are the regions in which it may be opened; any if empty.
 	homeRegions []string
-	// tried lists the agents that the opening was sent to; pending counts
+	// tried lists the agents that the opening packet was sent to; pending counts
 	// those that have not answered.
 	tried   []netip.AddrPort
 	pending int
-	// since is when its opening came first, and last when a packet did last.
+	// openedAt is when the first opening packet arrived, lastSeen when any packet last did.
 	openedAt clock.Millis
 	lastSeen clock.Millis
 	search   *search
-	// asked is what agents said of the flow in its last search, and gaveUp when that
-	// one ended without an owner.
+	// answers are those of agents in the last search for the owner, and searchFailedAt
+	// is when that search ended without an owner.
 	answers        map[netip.AddrPort]*agentAnswer
 	searchFailedAt clock.Millis
-	// ack is the caller's last acknowledgement.
+	// lastAck is the caller's last acknowledgement number.
 	lastAck uint32
-	// inherited tells that another balancer told the owner, and no packet came here since;
-	// ended that the caller has ended the flow.
+	// inherited is set if the owner was learned from another balancer and no packet has
+	// arrived here since; ended if the caller has ended the flow.
 	inherited bool
 	ended     bool
 }
 
-// Steerer is a balancer's decisions. It belongs to one process and is not safe
-// for concurrent use.
+// Steerer makes the decisions of one balancer process. It is not safe for
+// concurrent use.
 type Steerer struct {
 	settings Settings
 	Targets  *Targets
 	flows    *simplelru.LRU[segment.Flow, *flow]
-	// searches are those under way, in the order of their beginnings; ended ones
-	// are taken out at the next tick.
+	// searches are the searches under way, in the order of their start; ended ones
+	// are removed at the next tick.
 	searches []*search
-	// kept is the size of the packets in them, and denials what is remembered of
-	// those that ended in vain, the oldest first.
+	// bufferedBytes is the size of the packets that searches buffer, and failedSearches
+	// lists the searches that ended without an owner, oldest first.
 	bufferedBytes  int
 	failedSearches []failedSearch
-	// hands is how many packets may be handed to unsure targets, at the time handed.
+	// speculativeTokens is how many packets could be forwarded to unsure targets at the
+	// time speculativeRefilled.
 	speculativeTokens   float64
 	speculativeRefilled clock.Millis
-	// questions are those that were not sent yet.
+	// questions batches ownership questions to agents.
 	questions questions
 	table     *routing.Table
 	history   *routing.History
-	// settled tells that this balancer knows all targets that others do.
+	// settled reports that this balancer knows all targets that other balancers know.
 	settled bool
-	// keeper tells that this balancer keeps the checkpoints of its failure domain.
+	// keeper reports that this balancer stores the checkpoints of its failure domain.
 	keeper bool
-	// relay tells that this balancer tells other failure domains of the targets of its
-	// own, and news are those that have changed since they were told last.
+	// relay reports that this balancer sends the state of its failure domain's targets
+	// to other domains, and changes are the targets that changed since the last time.
 	relay   bool
 	changes []*wire.Entry
-	// handing is the budget of questions that this balancer hands on as a relay.
+	// relayBucket limits the questions that this balancer forwards as a relay.
 	relayBucket tokenBucket
-	// started is when the process began, and waiting are openings from then on for
-	// which there was no route or target.
+	// started is when the process started, and queued are opening packets for which
+	// there was no route or target.
 	started clock.Millis
 	queued  []queuedOpening
 	out     Outcome
 }
 
-// NewSteerer returns a Steerer that knows nothing yet.
+// NewSteerer returns a Steerer without targets and flows.
 func NewSteerer(now clock.Millis, settings Settings) *Steerer {
 	s := &Steerer{
 		settings: settings, started: now, Targets: NewTargets(settings.Domain, settings.Regions, settings.Seed),
@@ -107,15 +108,15 @@
 	return s
 }
 
-// Take returns what is to be done since the last call.
+// Take returns the actions collected since the last call.
 func (s *Steerer) Take() Outcome {
 	out := s.out
 	s.out = Outcome{}
 	return out
 }
 
-// SetTable brings a version into force, unless a later one is. It reports
-// whether it did.
+// SetTable activates a routing table, unless its version is not newer than the
+// active one. It reports whether it did.
 func (s *Steerer) SetTable(now clock.Millis, t *routing.Table) bool {
 	if s.table != nil && t.Version <= s.table.Version {
 		return false
@@ -126,23 +127,23 @@
 	return true
 }
 
-// Table returns the version in force, or nil.
+// Table returns the active routing table, or nil.
 func (s *Steerer) Table() *routing.Table {
 	return s.table
 }
 
-// SetSettled tells whether this balancer knows all targets that others do, and
-// has done so for long enough to have been told of any new one.
+// SetSettled sets whether this balancer knows all targets that other balancers know,
+// and has for long enough to have learned of any new one.
 func (s *Steerer) SetSettled(settled bool) {
 	s.settled = settled
 }
 
-// SetKeeper tells whether this balancer keeps the checkpoints of its failure domain.
+// SetKeeper sets whether this balancer stores the checkpoints of its failure domain.
 func (s *Steerer) SetKeeper(keeper bool) {
 	s.keeper = keeper
 }
 
-// Keeper reports whether this balancer keeps the checkpoints of its failure domain.
+// Keeper reports whether this balancer stores the checkpoints of its failure domain.
 func (s *Steerer) Keeper() bool {
 	return s.keeper
 }
@@ -154,24 +155,24 @@
 	return s.table.Version
 }
 
-// Flows returns how many flows are remembered.
+// Flows returns the number of flows in the table.
 func (s *Steerer) Flows() int {
 	return s.flows.Len()
 }
 
-// searching reports whether a flow's owner is searched.
+// isSearching reports whether a search for the flow's owner is under way.
 func (s *Steerer) isSearching(id segment.Flow) bool {
 	f, ok := s.flows.Peek(id)
 	return ok && f.search != nil
 }
 
-// Searches returns how many searches are under way.
+// Searches returns the number of searches under way.
 func (s *Steerer) Searches() int {
 	return len(s.searches)
 }
 
-// Arrive takes a packet of a caller. The packet may be reused afterwards only
-// when the outcome was taken and sent.
+// HandlePacket handles a packet from a caller. The packet's memory may be reused only
+// after the outcome was taken and sent.
 func (s *Steerer) HandlePacket(now clock.Millis, seg *segment.Segment, packet []byte) {
 	defer s.questions.flush(now, len(s.searches), &s.out)
 	id := seg.FromCaller()
@@ -199,9 +200,9 @@
 	s.startSearch(now, id, f, packet)
 }
 
-// carry sends a packet to the flow's owner. A target that is known to be gone
-// cannot answer any more, so its flow is searched anew: it may have been opened
-// at two targets.
+// forward sends a packet to the flow's owner. A target that is known to be gone
+// cannot answer any more, so a new search starts: the flow may have been opened at
+// two targets.
 func (s *Steerer) forward(now clock.Millis, id segment.Flow, f *flow, agent netip.AddrPort, packet []byte) {
 	t, ok := s.Targets.Find(agent)
 	if !ok || t.Service != f.service {
@@ -216,16 +217,16 @@
 	s.out.send(agent, &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: f.service, Packet: packet})
 }
 
-// trusted reports that this balancer may tell callers that a flow is over: it
-// hears most targets, so it is not the one that is cut off, and it knows all
-// targets that others do.
+// mayReset reports whether this balancer may reset flows at their callers: it hears
+// most targets, so it is not itself partitioned, and it knows all targets that other
+// balancers know.
 func (s *Steerer) mayReset(now clock.Millis) bool {
 	answering, all := s.Targets.Answering(now)
 	return s.settled && 2*answering > all
 }
 
-// end tells a caller that its flow is over, so that it comes back on a new one
-// instead of waiting until its patience ends.
+// resetFlow resets a flow at its caller, so that the caller opens a new one instead of
+// waiting for its timeout.
 func (s *Steerer) resetFlow(id segment.Flow, f *flow, reason string, age clock.Millis) {
 	agent, _ := f.owner.Agent()
 	s.out.Resets = append(s.out.Resets, Reset{Flow: id, Seq: f.lastAck})
@@ -235,9 +236,9 @@
 	s.flows.Remove(id)
 }
 
-// Hear takes a parcel of an agent. Packets in it are kept no longer than until
-// the outcome is taken, unless a search needs them. It returns the target if it
-// was heard for the first time.
+// HandleParcel handles a parcel from an agent. Its packet is referenced only until
+// the outcome is taken; a search copies it. HandleParcel returns the target if this
+// is its first report.
 func (s *Steerer) HandleParcel(now clock.Millis, from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) (*Target, bool) {
 	added := p.Report != nil && s.handleReport(now, from, p.Report)
 	switch p.Verb {
@@ -253,14 +254,14 @@
 	return s.Targets.Find(from)
 }
 
-// report takes a report and tells whether its target is new.
+// handleReport applies a report and reports whether its target is new.
 func (s *Steerer) handleReport(now clock.Millis, from netip.AddrPort, r *wire.Report) bool {
 	c := s.Targets.Report(now, from, r)
 	s.recordChange(now, from, r, c)
 	return c.New
 }
 
-// changed notes what a report has changed.
+// recordChange records what a report has changed.
 func (s *Steerer) recordChange(now clock.Millis, from netip.AddrPort, r *wire.Report, c Change) {
 	switch {
 	case c.Left:
@@ -276,7 +277,7 @@
 	}
 }
 
-// returned takes back a packet that a target did not take.
+// handleReturn handles a packet that a target did not take.
 func (s *Steerer) handleReturn(now clock.Millis, from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
 	if seg == nil {
 		return
@@ -290,8 +291,7 @@
 		return
 	}
 	if !ok {
-		// The process has just started; the packet was handed over by the
-		// one before it.
+		// The process has just started; its predecessor forwarded the packet.
 		f = &flow{lastAck: seg.Ack}
 		s.flows.Add(id, f)
 	}
@@ -300,8 +300,8 @@
 		return
 	}
 	if taker, ok := f.owner.Confirmed(); ok && taker != from {
-		// A target that a search has handed the packet to as well; the
-		// owner has it.
+		// A search forwarded the packet to this target as well; the owner
+		// has it.
 		return
 	}
 	s.out.record(Event{Kind: OwnerDenied, Flow: id, Target: from, Service: f.service, Reason: p.Cause.String()})
@@ -311,7 +311,7 @@
 	s.startSearch(now, id, f, p.Packet)
 }
 
-// hearAnswer takes the answer to a question, or what an agent says unasked.
+// handleAnswer handles an agent's answer to a question, or its unsolicited notice.
 func (s *Steerer) handleAnswer(now clock.Millis, from netip.AddrPort, p *wire.Parcel) {
 	if p.Number == 0 {
 		if id, err := segment.ParseFlow(p.Flow); err == nil {
@@ -330,7 +330,7 @@
 	}
 }
 
-// answered takes an agent's word about a flow.
+// handleHolding handles an agent's statement whether its target holds a flow.
 func (s *Steerer) handleHolding(now clock.Millis, from netip.AddrPort, id segment.Flow, holding wire.Holding) {
 	f, ok := s.flows.Get(id)
 	if !ok {
@@ -348,8 +348,8 @@
 	s.out.record(Event{Kind: OwnerConfirmed, Flow: id, Target: from, Service: f.service, Age: now.Sub(f.lastSeen)})
 }
 
-// Tick does what is due: probes, later stages of searches, and the end of what
-// was forgotten.
+// Tick does the work that is due: it sends probes, advances searches, retries queued
+// opening packets, and removes targets and answers that have expired.
 func (s *Steerer) Tick(now clock.Millis) {
 	for _, t := range s.Targets.Due(now) {
 		r := &wire.Report{
@@ -377,7 +377,7 @@
 	}
 }
 
-// watch notes what has become suspected, or is no longer.
+// recordSuspicions records targets that have become suspected or have recovered.
 func (s *Steerer) recordSuspicions(now clock.Millis) {
 	s.Targets.Each(func(t *Target) {
 		suspected := t.Suspected(now) && t.Heard != 0
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -49,13 +49,13 @@
 
 // restores lets an agent read what is kept, now and then late or from an old copy.
 func (w *simulation) restores(a *simAgent) {
-	h := a.holder
+	h := a.tracker
 	delay := clock.Millis(2 + w.random.IntN(60))
 	if w.random.IntN(5) == 0 {
 		delay = clock.Millis(w.random.IntN(4000))
 	}
 	w.schedule(delay, func() {
-		if a.holder != h || !a.up {
+		if a.tracker != h || !a.up {
 			return
 		}
 		o := w.object(a.domain)
--- a/internal/connection/stream/tokenbucket.go
+++ b/internal/connection/stream/tokenbucket.go
@@ -2,14 +2,14 @@
 
 import "github.com/wagtailtray/wagtailtray/pkg/clock"
 
-// budget bounds how many parcels of a kind are sent a second, and how many at once.
+// tokenBucket limits the rate and the burst of parcels of one kind.
 type tokenBucket struct {
 	rate, burst, tokens float64
 	refilledAt          clock.Millis
 }
 
-// newBudget returns the budget for questions of a balancer with a part of a core, in
-// thousandths.
+// newQuestionBucket returns the token bucket for questions of a balancer with a share of
+// a core, in thousandths.
 func newQuestionBucket(share uint32) tokenBucket {
 	if share == 0 {
 		share = defaultCPUShare
@@ -20,7 +20,7 @@
 	return b
 }
 
-// fill adds what has become due, and reports whether something may be sent.
+// refill adds the tokens due since the last call, and reports whether a parcel may be sent.
 func (b *tokenBucket) refill(now clock.Millis) bool {
 	b.tokens = min(b.tokens+b.rate*float64(now.Sub(b.refilledAt))/float64(clock.Second), b.burst)
 	b.refilledAt = now
--- a/internal/connection/stream/trace_test.go
+++ b/internal/connection/stream/trace_test.go
@@ -9,7 +9,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// TestTrace prints what one seed of TestWorld decides; WAGTAILTRAY_SEED names it.
+// TestTrace prints the decisions of one seed of TestWorld, given by WAGTAILTRAY_SEED.
 func TestTrace(t *testing.T) {
 	seed, err := strconv.Atoi(os.Getenv("WAGTAILTRAY_SEED"))
 	if err != nil {
--- a/internal/connection/stream/world_test.go
+++ b/internal/connection/stream/world_test.go
@@ -16,9 +16,10 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// The world runs balancers' and agents' decisions over a network that delays,
-// loses and reorders, with targets and callers that follow the protocol of
-// flows, and an oracle that knows everything. It has its own time.
+// The simulation runs the decisions of balancers and agents over a network that
+// delays, loses and reorders datagrams, with targets and callers that follow the
+// protocol of flows. It has a simulated clock, and checks callers' observations
+// against its full knowledge of the system's state.
 
 const (
 	simPort           = 7000
@@ -30,13 +31,13 @@
 	simOpeningCopies  = 3
 	simDuplicateRate  = 0.01
 	simDuplicateDelay = 400
-	// worldSummary is the pause between two summaries of all targets.
+	// simSummaryInterval is the interval between two summaries of all targets.
 	simSummaryInterval = 500 * clock.Millis(1)
-	// worldRequest is the size of a request.
+	// simRequestSize is the size of a request, in bytes.
 	simRequestSize = 200
 )
 
-// moment is one event of the world.
+// simEvent is a scheduled event of the simulation.
 type simEvent struct {
 	at     clock.Millis
 	order  int
@@ -45,16 +46,16 @@
 
 type eventQueue []simEvent
 
-func (m eventQueue) Len() int      { return len(m) }
-func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m eventQueue) Less(i, j int) bool {
-	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].order < m[j].order
+func (q eventQueue) Len() int      { return len(q) }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (m *eventQueue) Push(x any) { *m = append(*m, x.(simEvent)) }
-func (m *eventQueue) Pop() any {
-	old := *m
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*m = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
@@ -67,8 +68,8 @@
 	loss     float64
 	table    *routing.Table
 	allowed  map[string]bool
-	// orders are all snapshots of evacuations so far, and evacuated since when failure
-	// domains are.
+	// snapshots are all snapshots of evacuations so far, and evacuated is since when
+	// failure domains have been evacuated.
 	snapshots []evacuation.Snapshot
 	evacuated map[string]clock.Millis
 	balancers []*simBalancer
@@ -77,9 +78,9 @@
 	blocked   map[[2]netip.AddrPort]bool
 	served    int
 	failures  []string
-	// objects are the sheets of checkpoints, by failure domain.
+	// objects are the stored checkpoints, by failure domain.
 	objects map[string]*worldObject
-	// trace, if set, is shown all events.
+	// trace, if set, is called with all events.
 	trace func(who string, events []Event)
 }
 
@@ -97,48 +98,48 @@
 	up            bool
 	born          clock.Millis
 	knowsAllSince clock.Millis
-	// told is when the last summary of all targets was sent, and number its number.
+	// summarizedAt is when the last summary of all targets was sent, and summaryNumber its number.
 	summarizedAt  clock.Millis
 	summaryNumber uint32
 	faultWindow
 }
 
-// troubled is until when something had an unplanned fault.
-type faultWindow struct{ end clock.Millis }
+// faultWindow is until when a process or target had an unplanned fault.
+type faultWindow struct{ faultEnd clock.Millis }
 
-func (t *faultWindow) extend(end clock.Millis) { t.end = max(t.end, end) }
+func (f *faultWindow) extend(end clock.Millis) { f.faultEnd = max(f.faultEnd, end) }
 
 type simAgent struct {
 	address netip.AddrPort
 	domain  string
 	service string
-	holder  *Holder
+	tracker *Holder
 	epoch   uint64
 	up      bool
 	target  *simTarget
 	faultWindow
 }
 
-// worldTarget is one incarnation of a target.
+// simTarget is one incarnation of a target.
 type simTarget struct {
 	born         uint64
 	sequence     uint64
 	alive        bool
 	draining     bool
 	drainAckedAt clock.Millis
-	// faulty is until when requests fail: they are reset, or with mute not answered.
+	// failsUntil is until when requests fail: they are reset, or not answered if unresponsive.
 	failsUntil   clock.Millis
 	unresponsive bool
 	flows        map[segment.Flow]*simEndpoint
 }
 
-// worldEnd is a flow at its target.
+// simEndpoint is a target's end of a flow.
 type simEndpoint struct {
 	seq  uint32
 	open bool
 }
 
-// worldCaller keeps one flow and sends a request on it now and then.
+// simCaller keeps one flow open and sends a request on it from time to time.
 type simCaller struct {
 	flow           segment.Flow
 	target         *simTarget
@@ -204,17 +205,17 @@
 	}
 }
 
-func (w *simulation) schedule(d clock.Millis, do func()) {
+func (w *simulation) schedule(d clock.Millis, action func()) {
 	w.sequence++
-	heap.Push(&w.queue, simEvent{at: w.now + d, order: w.sequence, action: do})
+	heap.Push(&w.queue, simEvent{at: w.now + d, order: w.sequence, action: action})
 }
 
 func (w *simulation) run(until clock.Millis) {
 	end := w.now + until
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		m := heap.Pop(&w.queue).(simEvent)
-		w.now = m.at
-		m.action()
+		e := heap.Pop(&w.queue).(simEvent)
+		w.now = e.at
+		e.action()
 	}
 	w.now = end
 }
@@ -223,7 +224,7 @@
 	w.failures = append(w.failures, fmt.Sprintf("%.3f ", float64(w.now-24*clock.Hour)/1000)+fmt.Sprintf(format, args...))
 }
 
-// network delivers later, or never, or now and then twice, the second time late.
+// transmit delivers after a delay, or never, or occasionally twice, the second time late.
 func (w *simulation) transmit(from, to netip.AddrPort, deliver func()) {
 	if w.random.Float64() < simDuplicateRate {
 		w.schedule(clock.Millis(1+w.random.IntN(simDuplicateDelay)), deliver)
@@ -234,7 +235,7 @@
 	w.schedule(1+clock.Millis(w.random.IntN(simMaxDelay)), deliver)
 }
 
-// encode makes the packet of a segment, as a stand-in for the real head.
+// encode returns a segment as a packet, in an encoding for tests.
 func encode(s segment.Segment) []byte {
 	b := segment.AppendAddress(segment.AppendAddress(nil, s.Source), s.Destination)
 	b = append(b, byte(s.Flags))
@@ -263,8 +264,6 @@
 	return encode(*s)
 }
 
-// Balancers.
-
 func (w *simulation) startBalancer(b *simBalancer) {
 	b.steerer = NewSteerer(w.now, Settings{
 		Domain: b.domain, Address: b.address, AwaitEvacuations: true, MaxFlows: 10000, FlowTTL: testFlowTTL,
@@ -288,8 +287,8 @@
 	w.keeps(b)
 }
 
-// summarize stands in for the relays: each balancer tells those of other failure domains
-// of the targets of its own.
+// summarize simulates the relays: each balancer sends the state of its failure domain's
+// targets to those of other domains.
 func (w *simulation) summarize(b *simBalancer) {
 	b.steerer.SetRelay(true)
 	var parts []*wire.Summary
@@ -318,8 +317,8 @@
 	}
 }
 
-// repeatOrders stands in for the news of balancers, which tell the evacuations again and
-// again: a process that stood still has missed some.
+// resendEvacuations simulates the balancers' periodic messages, which repeat the
+// evacuations: a process that was paused has missed some.
 func (w *simulation) resendEvacuations(b *simBalancer) {
 	s := b.steerer.Evacuations()
 	for _, other := range w.balancers {
@@ -332,13 +331,13 @@
 	}
 }
 
-// settle stands in for the balancers' exchange: a balancer counts as settled
-// when it has known all running agents for a while.
+// updateSettled simulates the balancers' exchange: a balancer is settled once it has
+// known all running agents for a while.
 func (w *simulation) updateSettled(b *simBalancer) {
 	all := w.now.Sub(b.born) > 700
 	for _, a := range w.agents {
 		t, ok := b.steerer.Targets.Find(a.address)
-		if a.up && !a.holder.Gone() && (!ok || t.Heard == 0) {
+		if a.up && !a.tracker.Gone() && (!ok || t.Heard == 0) {
 			all = false
 		}
 	}
@@ -383,13 +382,13 @@
 			if !a.up {
 				return
 			}
-			a.holder.Hear(w.now, b.address, p, packetSegment(p))
+			a.tracker.Hear(w.now, b.address, p, packetSegment(p))
 			w.flushAgent(a)
 		})
 	}
 }
 
-// carried is the segment of a parcel's packet, or nil if it has none.
+// packetSegment returns the segment of a parcel's packet, or nil if it has none.
 func packetSegment(p *wire.Parcel) *segment.Segment {
 	if len(p.Packet) == 0 {
 		return nil
