--- a/internal/connection/stream/owners.go
+++ b/internal/connection/stream/owners.go
@@ -27,12 +27,12 @@
 		if !ok || f.ended || now.Sub(f.lastSeen) > life {
 			continue
 		}
-		taker, ok := f.owner.Confirmed()
+		agent, ok := f.owner.Confirmed()
 		if !ok {
 			continue
 		}
 		all = append(all, &wire.Owner{
-			Flow: segment.AppendFlow(nil, id), Address: segment.AppendAddress(nil, taker), Service: f.service,
+			Flow: segment.AppendFlow(nil, id), Address: segment.AppendAddress(nil, agent), Service: f.service,
 		})
 	}
 	return all
@@ -41,7 +41,7 @@
 // Inherit adds owners that another balancer knew and returns how many were added. Flows
 // that are already in the table are not changed.
 func (s *Steerer) Inherit(now clock.Millis, owners []*wire.Owner) int {
-	taken := 0
+	added := 0
 	for _, o := range owners {
 		id, err := segment.ParseFlow(o.Flow)
 		if err != nil {
@@ -52,7 +52,7 @@
 			continue
 		}
 		s.flows.Add(id, &flow{owner: confirmedBy(agent), service: o.Service, lastSeen: now, inherited: true})
-		taken++
+		added++
 	}
-	return taken
+	return added
 }
--- a/internal/connection/stream/questions.go
+++ b/internal/connection/stream/questions.go
@@ -58,8 +58,8 @@
 	lastNumber uint32
 	lastFlush  clock.Millis
 	lastSweep  clock.Millis
-	// isSearched reports whether a search for the owner of a flow is still under way.
-	isSearched func(segment.Flow) bool
+	// isSearching reports whether a search for the owner of a flow is still under way.
+	isSearching func(segment.Flow) bool
 	tokenBucket
 }
 
@@ -79,9 +79,9 @@
 }
 
 // newQuestions returns the questions of a balancer with a share of a core, in thousandths.
-func newQuestions(share uint32, searched func(segment.Flow) bool) questions {
+func newQuestions(share uint32, isSearching func(segment.Flow) bool) questions {
 	return questions{
-		pending: map[netip.AddrPort]*batch{}, sent: map[uint32]*batch{}, isSearched: searched, tokenBucket: newQuestionBucket(share),
+		pending: map[netip.AddrPort]*batch{}, sent: map[uint32]*batch{}, isSearching: isSearching, tokenBucket: newQuestionBucket(share),
 	}
 }
 
@@ -128,7 +128,7 @@
 func (q *questions) prune(b *batch) {
 	kept := 0
 	for i, id := range b.flows {
-		if !q.isSearched(id) {
+		if !q.isSearching(id) {
 			continue
 		}
 		b.flows[kept] = id
--- a/internal/connection/stream/search.go
+++ b/internal/connection/stream/search.go
@@ -247,14 +247,14 @@
 	if !s.mayReset(now) {
 		return false
 	}
-	unowned := true
+	denied := true
 	s.Targets.Each(func(t *Target) {
 		a := x.flow.answers[t.Address]
 		if a == nil || a.search != x || a.holding != wire.Holding_HOLDING_NOT && !t.Lost(now) {
-			unowned = false
+			denied = false
 		}
 	})
-	return unowned
+	return denied
 }
 
 // handleSearchAnswer handles an agent's answer during a search.
--- a/internal/connection/stream/steer.go
+++ b/internal/connection/stream/steer.go
@@ -299,7 +299,7 @@
 		s.handleDenial(now, f, from)
 		return
 	}
-	if taker, ok := f.owner.Confirmed(); ok && taker != from {
+	if agent, ok := f.owner.Confirmed(); ok && agent != from {
 		// A search forwarded the packet to this target as well; the owner
 		// has it.
 		return
