--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -10,28 +10,28 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// faultCount is how many faults one seed has, and seeds how many are run.
+// faultCount is the number of faults per seed, and seedCount the number of seeds.
 const (
 	faultCount = 25
-	seeds      = 60
+	seedCount  = 60
 )
 
-// TestWorld runs flows while everything happens to balancers, agents and
-// targets, several times and overlapping.
+// TestWorld runs flows while faults of all kinds, several and overlapping, affect
+// balancers, agents and targets.
 //
-// What a caller must see: a flow whose target lives, on a path that is calm, is
-// never reset and never hangs for two seconds; a request goes to no target that
-// was acknowledged to drain, and to no service that the table never named.
+// A flow whose target is alive, on a path without recent faults, must never be reset and
+// never hang for two seconds; no request may go to a target whose drain was acknowledged,
+// or to a service that was never in the routing table.
 func TestWorld(t *testing.T) {
-	count := seeds
+	count := seedCount
 	if more, err := strconv.Atoi(os.Getenv("WAGTAILTRAY_FUZZ")); err == nil {
 		count = more
 	}
 	for seed := range count {
-		w := faultyWorld(t, uint64(seed))
+		w := newFaultySimulation(t, uint64(seed))
 		w.run(60 * clock.Second)
 		if w.served < 200 {
-			w.fail("only %d requests were served", w.served)
+			w.fail("only %d requests were answered", w.served)
 		}
 		for _, f := range w.failures {
 			t.Errorf("seed %d: %s", seed, f)
@@ -42,36 +42,36 @@
 	}
 }
 
-// planned are the faults that operators plan; flows must outlive all of them.
-var planned = []int{0, 2, 4, 8, 13}
+// plannedFaults are the kinds of faults that operators plan; flows must survive all of them.
+var plannedFaults = []int{0, 2, 4, 8, 13}
 
-// faultyWorld has faults of all kinds, or in each other seed planned ones only.
-func faultyWorld(t testing.TB, seed uint64) *world {
-	w := newWorld(t, seed, 5, 9, 40)
+// newFaultySimulation schedules faults of all kinds, or for every other seed only planned ones.
+func newFaultySimulation(t testing.TB, seed uint64) *simulation {
+	w := newSimulation(t, seed, 5, 9, 40)
 	for range faultCount {
 		kind := w.random.IntN(14)
 		if seed%2 == 1 {
-			kind = planned[w.random.IntN(len(planned))]
+			kind = plannedFaults[w.random.IntN(len(plannedFaults))]
 		}
-		w.after(clock.Millis(5000+w.random.IntN(40000)), func() { w.fault(kind) })
+		w.schedule(clock.Millis(5000+w.random.IntN(40000)), func() { w.injectFault(kind) })
 	}
 	return w
 }
 
-// fault makes one thing happen.
-func (w *world) fault(kind int) {
+// injectFault injects a fault of a kind.
+func (w *simulation) injectFault(kind int) {
 	b := w.balancers[w.random.IntN(len(w.balancers))]
 	a := w.agents[w.random.IntN(len(w.agents))]
-	w.note(netip.AddrPort{}, []Event{{Kind: "fault", Count: kind, Target: b.address, Reason: a.address.String()}})
+	w.traceEvents(netip.AddrPort{}, []Event{{Kind: "fault", Count: kind, Target: b.address, Reason: a.address.String()}})
 	switch kind {
 	case 0:
-		w.planRestart(b)
+		w.restartBalancer(b)
 	case 1:
 		w.killBalancer(b)
 	case 2:
 		w.restartAgent(a, true)
 	case 3:
-		a.until(w.now)
+		a.extend(w.now)
 		w.restartAgent(a, false)
 	case 4:
 		w.drainTarget(a)
@@ -80,15 +80,15 @@
 	case 6:
 		w.loseVM(a)
 	case 7:
-		w.cutPath(b, a)
+		w.blockPath(b, a)
 	case 8:
 		w.setTable(w.table.Version+1, []string{"one", "two"}[w.random.IntN(2)])
 	case 9:
 		w.freezeBalancer(b)
 	case 10:
-		w.herd()
+		w.killAllProcesses()
 	case 11:
-		w.spoilTarget(a)
+		w.failRequests(a)
 	case 12:
 		w.power()
 	case 13:
@@ -97,31 +97,32 @@
 }
 
 const (
-	// worldOrder is how long an order may take to reach a balancer, and worldOrdered from
-	// when on after it nothing may be opened: a balancer that starts has that much time.
-	worldOrder   = 400
-	worldOrdered = clock.Second
+	// simEvacuationDelay is the maximum delay until a balancer learns of an evacuation, and
+	// simEvacuationGrace the time after which no flow may be opened in the domain: a balancer
+	// that starts has that much time.
+	simEvacuationDelay = 400
+	simEvacuationGrace = clock.Second
 )
 
-// evacuate gives an order for a failure domain, or withdraws it. Balancers hear of it now or
-// later, and old lists come late.
-func (w *world) evacuate(domain string) {
-	last := w.orders[len(w.orders)-1]
+// evacuate starts the evacuation of a failure domain, or withdraws it. Balancers learn of it
+// after different delays, and outdated snapshots arrive late.
+func (w *simulation) evacuate(domain string) {
+	last := w.snapshots[len(w.snapshots)-1]
 	c := evacuation.Change{Domain: domain, Withdrawn: last.Has(domain)}
 	next := last.After(last.Revision+1, []evacuation.Change{c})
-	w.orders = append(w.orders, next)
+	w.snapshots = append(w.snapshots, next)
 	delete(w.evacuated, domain)
 	if !c.Withdrawn {
 		w.evacuated[domain] = w.now
 	}
 	for _, b := range w.balancers {
-		w.hearOrder(b, next)
-		w.hearOrder(b, w.orders[w.random.IntN(len(w.orders))])
+		w.sendEvacuations(b, next)
+		w.sendEvacuations(b, w.snapshots[w.random.IntN(len(w.snapshots))])
 	}
 }
 
-func (w *world) hearOrder(b *worldBalancer, s evacuation.Snapshot) {
-	w.after(clock.Millis(w.random.IntN(worldOrder)), func() {
+func (w *simulation) sendEvacuations(b *simBalancer, s evacuation.Snapshot) {
+	w.schedule(clock.Millis(w.random.IntN(simEvacuationDelay)), func() {
 		if b.up {
 			b.steerer.TakeEvacuations(w.now, s)
 			w.flushBalancer(b)
@@ -129,8 +130,8 @@
 	})
 }
 
-// planRestart stops a balancer that tells the others its owners.
-func (w *world) planRestart(b *worldBalancer) {
+// restartBalancer restarts a balancer that sends its owners to the others first.
+func (w *simulation) restartBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
@@ -141,29 +142,29 @@
 		}
 	}
 	b.up = false
-	w.after(w.restartAfter(true), func() { w.startBalancer(b) })
+	w.schedule(w.restartAfter(true), func() { w.startBalancer(b) })
 }
 
-func (w *world) killBalancer(b *worldBalancer) {
+func (w *simulation) killBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
 	d := clock.Millis(500 + w.random.IntN(3000))
 	b.up = false
-	b.until(w.now + d)
-	w.after(d, func() { w.startBalancer(b) })
+	b.extend(w.now + d)
+	w.schedule(d, func() { w.startBalancer(b) })
 }
 
-// freezeBalancer stops a balancer's time for a while; datagrams wait.
-func (w *world) freezeBalancer(b *worldBalancer) {
+// freezeBalancer pauses a balancer's process for a while.
+func (w *simulation) freezeBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
 	d := clock.Millis(1000 + w.random.IntN(4000))
 	b.up = false
-	b.until(w.now + d)
+	b.extend(w.now + d)
 	frozen := b.steerer
-	w.after(d, func() {
+	w.schedule(d, func() {
 		if b.steerer != frozen || b.up {
 			return
 		}
@@ -172,18 +173,18 @@
 		tick = func() {
 			if b.steerer == frozen && b.up {
 				frozen.Tick(w.now)
-				w.settle(b)
+				w.updateSettled(b)
 				w.flushBalancer(b)
-				w.after(20, tick)
+				w.schedule(20, tick)
 			}
 		}
 		tick()
 	})
 }
 
-// restartAfter is how soon a process is started again: within a second, now and then at
-// once or, after a fault, after many.
-func (w *world) restartAfter(planned bool) clock.Millis {
+// restartAfter returns the delay until a process is restarted: under a second,
+// occasionally almost none or, after a fault, many seconds.
+func (w *simulation) restartAfter(planned bool) clock.Millis {
 	switch w.random.IntN(8) {
 	case 0:
 		return clock.Millis(10 + w.random.IntN(100))
@@ -195,24 +196,24 @@
 	return clock.Millis(100 + w.random.IntN(500))
 }
 
-// restartAgent starts a new process beside the same target.
-func (w *world) restartAgent(a *worldAgent, planned bool) {
+// restartAgent starts a new agent process beside the same target.
+func (w *simulation) restartAgent(a *simAgent, planned bool) {
 	if !a.up {
 		return
 	}
 	if planned {
-		a.holder.Stop(w.now)
+		a.tracker.Stop(w.now)
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		a.holder.Tell(w.now, all)
+		a.tracker.Tell(w.now, all)
 		w.flushAgent(a)
 	}
 	a.up = false
-	w.after(w.restartAfter(planned), func() {
+	w.schedule(w.restartAfter(planned), func() {
 		if !planned {
-			a.until(w.now)
+			a.extend(w.now)
 		}
 		if !a.up {
 			w.startAgent(a)
@@ -220,83 +221,83 @@
 	})
 }
 
-// drainTarget ends a target as planned and starts another one beside the same
+// drainTarget drains and stops a target, and starts another one beside the same
 // agent.
-func (w *world) drainTarget(a *worldAgent) {
+func (w *simulation) drainTarget(a *simAgent) {
 	t := a.target
 	if !t.alive || t.draining {
 		return
 	}
 	t.draining = true
-	w.after(6*clock.Second, func() {
+	w.schedule(6*clock.Second, func() {
 		if !t.alive {
 			return
 		}
 		t.alive = false
 		if a.up {
-			a.holder.Leave(w.now)
+			a.tracker.Leave(w.now)
 			w.flushAgent(a)
 		}
-		w.after(500, func() { w.startTarget(a) })
+		w.schedule(500, func() { w.startTarget(a) })
 	})
 }
 
-func (w *world) crashTarget(a *worldAgent) {
+func (w *simulation) crashTarget(a *simAgent) {
 	if !a.target.alive {
 		return
 	}
-	a.until(w.now)
+	a.extend(w.now)
 	a.target.alive = false
-	w.after(clock.Millis(200+w.random.IntN(3000)), func() {
+	w.schedule(clock.Millis(200+w.random.IntN(3000)), func() {
 		if !a.target.alive {
 			w.startTarget(a)
 		}
 	})
 }
 
-// spoilTarget lets a target fail all requests for a while, with heartbeats as
+// failRequests makes a target fail all requests for a while, with heartbeats as
 // before.
-func (w *world) spoilTarget(a *worldAgent) {
+func (w *simulation) failRequests(a *simAgent) {
 	t := a.target
-	t.faulty, t.mute = w.now+clock.Millis(2000+w.random.IntN(6000)), w.random.IntN(2) == 0
+	t.failsUntil, t.unresponsive = w.now+clock.Millis(2000+w.random.IntN(6000)), w.random.IntN(2) == 0
 }
 
-// loseVM takes agent and target away; others come later.
-func (w *world) loseVM(a *worldAgent) {
+// loseVM removes agent and target; replacements start later.
+func (w *simulation) loseVM(a *simAgent) {
 	if !a.up || !a.target.alive {
 		return
 	}
 	d := clock.Millis(1000 + w.random.IntN(4000))
-	a.until(w.now + d)
+	a.extend(w.now + d)
 	a.up, a.target.alive = false, false
-	w.after(d, func() {
+	w.schedule(d, func() {
 		w.startTarget(a)
 		w.startAgent(a)
 	})
 }
 
-func (w *world) cutPath(b *worldBalancer, a *worldAgent) {
+func (w *simulation) blockPath(b *simBalancer, a *simAgent) {
 	both := [][2]netip.AddrPort{{b.address, a.address}, {a.address, b.address}}
 	for _, path := range both {
-		w.cut[path] = true
+		w.blocked[path] = true
 	}
 	d := clock.Millis(1000 + w.random.IntN(4000))
-	a.until(w.now + d)
-	b.until(w.now + d)
-	w.after(d, func() {
+	a.extend(w.now + d)
+	b.extend(w.now + d)
+	w.schedule(d, func() {
 		for _, path := range both {
-			delete(w.cut, path)
+			delete(w.blocked, path)
 		}
 	})
 }
 
-// herd kills all balancers and agents; the targets live on.
-func (w *world) herd() {
+// killAllProcesses kills all balancers and agents; the targets stay alive.
+func (w *simulation) killAllProcesses() {
 	for _, b := range w.balancers {
 		w.killBalancer(b)
 	}
 	for _, a := range w.agents {
-		a.until(w.now)
+		a.extend(w.now)
 		w.restartAgent(a, false)
 	}
 }
--- a/internal/connection/stream/packets.go
+++ b/internal/connection/stream/packets.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// retain keeps a packet, unless it is there already: callers send again what is not
-// answered.
-func (s *Steerer) retain(x *search, packet []byte) {
+// bufferPacket buffers a copy of a packet, unless the search already has it: callers
+// retransmit what is not answered.
+func (s *Steerer) bufferPacket(x *search, packet []byte) {
 	known := slices.ContainsFunc(x.packets, func(p []byte) bool { return bytes.Equal(p, packet) })
-	if known || len(x.packets) >= mostKept || s.kept+len(packet) > mostKeptBytes {
+	if known || len(x.packets) >= maxSearchPackets || s.bufferedBytes+len(packet) > maxBufferedBytes {
 		return
 	}
 	x.packets = append(x.packets, slices.Clone(packet))
-	x.kept += len(packet)
-	s.kept += len(packet)
+	x.bufferedBytes += len(packet)
+	s.bufferedBytes += len(packet)
 }
 
-// drop takes the searches that have ended off the list, with what they kept.
-func (s *Steerer) drop() {
+// removeEnded removes searches that have ended, and the packets that they buffered.
+func (s *Steerer) removeEnded() {
 	s.searches = slices.DeleteFunc(s.searches, func(x *search) bool {
-		if x.over {
-			s.kept -= x.kept
+		if x.ended {
+			s.bufferedBytes -= x.bufferedBytes
 		}
-		return x.over
+		return x.ended
 	})
 }
--- a/internal/connection/stream/search.go
+++ b/internal/connection/stream/search.go
@@ -9,331 +9,331 @@
 )
 
 const (
-	// nearStage and wideStage are how long a search waits for its first two
-	// circles of targets: some round trips inside a failure domain, and between
-	// them.
-	nearStage = 15 * clock.Millis(1)
-	wideStage = 60 * clock.Millis(1)
-	// unsureStage is how long a circle is given in which a target was handed the
-	// packet, because its agent is unsure, and has not returned it. A target
-	// returns a packet within a millisecond and answers a request in some tens;
-	// one whose agent has just started among all others needs longer.
-	unsureStage = 700 * clock.Millis(1)
-	// behindStage is how long a circle is given while questions wait for their budget.
-	behindStage = 400 * clock.Millis(1)
-	// askAgain is the pause before questions without answer are repeated; it
+	// domainTimeout and serviceTimeout are how long a search waits for the targets of
+	// its first two scopes: some round trips within a failure domain, and between
+	// domains.
+	domainTimeout  = 15 * clock.Millis(1)
+	serviceTimeout = 60 * clock.Millis(1)
+	// unsureTimeout is how long a search waits in a scope in which the packet was
+	// forwarded to a target whose agent is unsure, and the target has not returned it.
+	// A target returns a packet within a millisecond and answers a request within
+	// some tens of them; when all agents have just started, it takes longer.
+	unsureTimeout = 700 * clock.Millis(1)
+	// throttledTimeout is how long a search waits in a scope while questions are rate limited.
+	throttledTimeout = 400 * clock.Millis(1)
+	// initialRetryDelay is the delay before unanswered questions are repeated; it
 	// doubles each time. Thousands of searches at once, after all VMs lost power,
-	// must not fill the links that their answers need.
-	askAgain = 100 * clock.Millis(1)
-	// searchFor is how long a search goes on. By then the caller has sent its
-	// packet again, which begins the next search.
-	searchFor = clock.Second
-	// mostKept bounds the packets that a search keeps. A caller has at most 16
-	// in flight.
-	mostKept = 16
-	// mostSearches bounds the searches under way: packets of flows that nobody
-	// owns must not cost more than the flows that are there. mostAsked bounds what
-	// they remember of targets, some 120 bytes each: 18 MB of the 120 that a
-	// small VM has. leastSearches is how many there may be among any number of
-	// targets.
-	mostSearches  = 4096
-	mostAsked     = 150_000
-	leastSearches = 64
-	// mostKeptBytes bounds the packets that all searches keep together.
-	mostKeptBytes = 8 << 20
+	// must not saturate the links that their answers need.
+	initialRetryDelay = 100 * clock.Millis(1)
+	// searchTimeout is the maximum duration of a search. By then the caller has
+	// retransmitted its packet, which starts the next search.
+	searchTimeout = clock.Second
+	// maxSearchPackets bounds the packets that a search buffers. A caller has at most
+	// 16 in flight.
+	maxSearchPackets = 16
+	// maxSearches bounds the searches under way: packets of flows without an owner
+	// must not cost more than the existing flows. maxSearchAnswers bounds the answers
+	// stored per target in all searches, some 120 bytes each: 18 MB of the 120 MB that
+	// a small VM has. minSearches are allowed however many targets there are.
+	maxSearches      = 4096
+	maxSearchAnswers = 150_000
+	minSearches      = 64
+	// maxBufferedBytes bounds the packets that all searches buffer together.
+	maxBufferedBytes = 8 << 20
 )
 
-// stage is how wide a search has become.
-type stage int
+// scope is the set of targets that a search asks.
+type scope int
 
 const (
-	// near asks the targets in the balancer's failure domain that may own the
-	// flow, wide those everywhere, and all also those of other services: what
-	// the listener went to before this process started is not known.
-	near stage = iota
-	wide
-	all
+	// scopeDomain are the targets in the balancer's failure domain that may own the
+	// flow, scopeService those in all domains. scopeAll adds the targets of other
+	// services: the routes of the listener before this process started are unknown.
+	scopeDomain scope = iota
+	scopeService
+	scopeAll
 )
 
-// search is a balancer's question who owns a flow. Thousands may be under way at
-// a balancer with a small part of a core, so a search is looked at only when an
-// answer comes or its time is due.
+// search looks for the owner of a flow. Thousands may be under way at a balancer
+// with a small share of a core, so a search is processed only when an answer arrives
+// or its deadline is due.
 type search struct {
-	id   segment.Flow
-	flow *flow
-	// over tells that the search has ended.
-	over  bool
-	began clock.Millis
-	stage stage
-	// known is how many targets there were when the last ones were asked, and
-	// open how many of those asked have not denied the flow, unsure how many of
-	// these were handed its packets.
-	known  int
-	open   int
-	unsure int
-	// hungry tells that unsure targets wait to be handed the packet.
-	hungry bool
-	// due is when time alone changes something next, again when questions are
-	// repeated, and pause what the next pause is.
-	due     clock.Millis
-	again   clock.Millis
-	pause   clock.Millis
-	packets [][]byte
-	// kept is the size of the packets.
-	kept int
+	id        segment.Flow
+	flow      *flow
+	ended     bool
+	startedAt clock.Millis
+	scope     scope
+	// targetCount is how many targets were known when targets were last asked,
+	// candidates how many of those asked have not denied the flow, and unsure how many
+	// of these have an agent that is unsure.
+	targetCount int
+	candidates  int
+	unsure      int
+	// speculationPending is set while the packet is still to be forwarded to unsure targets.
+	speculationPending bool
+	// nextDue is the next deadline, retryAt when questions are repeated, and
+	// retryDelay the delay after that.
+	nextDue    clock.Millis
+	retryAt    clock.Millis
+	retryDelay clock.Millis
+	packets    [][]byte
+	// bufferedBytes is the size of packets.
+	bufferedBytes int
 }
 
-// room is how many searches there may be, and how many flows whose denials are kept.
-func (s *Steerer) room() int {
-	return min(max(mostAsked/max(s.Targets.Len(), 1), leastSearches), mostSearches)
+// searchLimit returns the maximum number of searches under way, and of failed searches
+// whose answers are retained.
+func (s *Steerer) searchLimit() int {
+	return min(max(maxSearchAnswers/max(s.Targets.Len(), 1), minSearches), maxSearches)
 }
 
-// end takes the search off its flow.
-func (x *search) end() {
-	x.over = true
+// finish marks the search as ended and detaches it from its flow.
+func (x *search) finish() {
+	x.ended = true
 	x.flow.search = nil
 }
 
-// begin starts a search for the owner of a flow.
-func (s *Steerer) begin(now clock.Millis, id segment.Flow, f *flow, packet []byte) {
-	if len(s.searches) >= s.room() {
-		s.out.note(Event{Kind: GaveUp, Flow: id, Reason: "too many searches", Count: len(s.searches)})
+// startSearch starts a search for the owner of a flow.
+func (s *Steerer) startSearch(now clock.Millis, id segment.Flow, f *flow, packet []byte) {
+	if len(s.searches) >= s.searchLimit() {
+		s.out.record(Event{Kind: SearchFailed, Flow: id, Reason: "too many searches", Count: len(s.searches)})
 		return
 	}
 	f.pending = 0
-	x := &search{id: id, flow: f, began: now, again: now + askAgain, pause: 2 * askAgain}
+	x := &search{id: id, flow: f, startedAt: now, retryAt: now + initialRetryDelay, retryDelay: 2 * initialRetryDelay}
 	f.search = x
-	if f.asked == nil {
-		f.asked = map[netip.AddrPort]*asked{}
+	if f.answers == nil {
+		f.answers = map[netip.AddrPort]*agentAnswer{}
 	}
-	s.retain(x, packet)
+	s.bufferPacket(x, packet)
 	s.searches = append(s.searches, x)
-	s.out.note(Event{Kind: Searched, Flow: id, Service: f.service, Version: s.version()})
-	s.ask(now, x)
+	s.out.record(Event{Kind: SearchStarted, Flow: id, Service: f.service, Version: s.version()})
+	s.askTargets(now, x)
 	s.advance(now, x)
 }
 
-// ask asks the targets of the search's stage that were not asked yet.
-func (s *Steerer) ask(now clock.Millis, x *search) {
-	x.known = s.Targets.Len()
+// askTargets asks the targets in the search's scope that were not asked yet.
+func (s *Steerer) askTargets(now clock.Millis, x *search) {
+	x.targetCount = s.Targets.Len()
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.asked[t.Address]
-		if q != nil && q.search == x || !s.within(x.stage, x.id, t) {
+		a := x.flow.answers[t.Address]
+		if a != nil && a.search == x || !s.inScope(x.scope, x.id, t) {
 			continue
 		}
-		if q == nil {
-			q = &asked{}
-			x.flow.asked[t.Address] = q
+		if a == nil {
+			a = &agentAnswer{}
+			x.flow.answers[t.Address] = a
 		}
-		q.search, q.handed, q.open = x, 0, false
-		if q.denies(now, t) {
+		a.search, a.forwarded, a.candidate = x, 0, false
+		if a.stillDenies(now, t) {
 			continue
 		}
-		q.holding = wire.Holding_HOLDING_UNKNOWN
+		a.holding = wire.Holding_HOLDING_UNKNOWN
 		if t.Lost(now) {
-			// It would not answer; it is asked if it comes back meanwhile.
+			// It would not answer; it is asked if it recovers during the search.
 			continue
 		}
-		q.open = true
-		x.open++
+		a.candidate = true
+		x.candidates++
 		if relay, ok := s.Targets.Relay(now, t.Domain); ok {
-			s.questions.addAll(now, relay, t.Domain, x.id, x.flow.ack)
+			s.questions.addRelayed(now, relay, t.Domain, x.id, x.flow.lastAck)
 			continue
 		}
-		s.question(now, x, t)
+		s.askDirectly(now, x, t)
 	}
 }
 
-// question asks an agent itself. Those of other failure domains are asked by way of a
-// relay first; one that fails costs the pause until what was not answered is asked again.
-func (s *Steerer) question(now clock.Millis, x *search, t *Target) {
-	s.questions.add(now, t.Address, t.Domain != s.settings.Domain, x.id, x.flow.ack)
+// askDirectly asks an agent without a relay. Agents of other failure domains are asked
+// through a relay first; if it fails, the retry delay passes before they are asked directly.
+func (s *Steerer) askDirectly(now clock.Millis, x *search, t *Target) {
+	s.questions.add(now, t.Address, t.Domain != s.settings.Domain, x.id, x.flow.lastAck)
 }
 
-func (s *Steerer) within(at stage, id segment.Flow, t *Target) bool {
+func (s *Steerer) inScope(at scope, id segment.Flow, t *Target) bool {
 	switch at {
-	case near:
+	case scopeDomain:
 		return t.Domain == s.settings.Domain && s.history.Allows(id.Listener, t.Service)
-	case wide:
+	case scopeService:
 		return s.history.Allows(id.Listener, t.Service)
 	default:
 		return true
 	}
 }
 
-// advance widens a search whose present circle has denied the flow, or was
-// given its time, asks again where no answer came, and ends one that is over.
+// advance widens the scope of a search once all targets in it have denied the flow or
+// its timeout has passed, repeats unanswered questions, and ends a search that is
+// resolved or has timed out.
 func (s *Steerer) advance(now clock.Millis, x *search) {
-	if x.over || now < x.due && x.open > 0 && !x.last() && x.known == s.Targets.Len() {
+	if x.ended || now < x.nextDue && x.candidates > 0 && !x.onlyUnsureLeft() && x.targetCount == s.Targets.Len() {
 		return
 	}
-	if now.Sub(x.began) > searchFor {
-		s.giveUp(now, x)
+	if now.Sub(x.startedAt) > searchTimeout {
+		s.failSearch(now, x)
 		return
 	}
-	if x.known != s.Targets.Len() {
-		// This process has just started and learns of targets meanwhile.
-		s.ask(now, x)
+	if x.targetCount != s.Targets.Len() {
+		// This process has just started and is still learning of targets.
+		s.askTargets(now, x)
 	}
-	for x.stage < all && (x.open == 0 || now.Sub(x.began) > s.patience(x)) {
-		x.stage++
-		s.ask(now, x)
+	for x.scope < scopeAll && (x.candidates == 0 || now.Sub(x.startedAt) > s.scopeTimeout(x)) {
+		x.scope++
+		s.askTargets(now, x)
 	}
-	if x.stage == all && x.last() && s.settled {
-		s.eliminate(now, x)
+	if x.scope == scopeAll && x.onlyUnsureLeft() && s.settled {
+		s.resolveByElimination(now, x)
 		return
 	}
-	if x.stage == all && (x.open == 0 || now >= x.again) && s.unowned(now, x) {
-		x.end()
-		s.end(x.id, x.flow, "no target holds it", now.Sub(x.began))
+	if x.scope == scopeAll && (x.candidates == 0 || now >= x.retryAt) && s.deniedByAll(now, x) {
+		x.finish()
+		s.resetFlow(x.id, x.flow, "no target holds it", now.Sub(x.startedAt))
 		return
 	}
-	s.repeat(now, x)
-	x.due = min(x.again, x.began+searchFor+1)
-	if x.stage < all {
-		x.due = min(x.due, x.began+s.patience(x)+1)
+	s.retryQuestions(now, x)
+	x.nextDue = min(x.retryAt, x.startedAt+searchTimeout+1)
+	if x.scope < scopeAll {
+		x.nextDue = min(x.nextDue, x.startedAt+s.scopeTimeout(x)+1)
 	}
 }
 
-// last reports that one target is left that may own the flow, and was handed its
-// packets.
-func (x *search) last() bool {
-	return x.open == 1 && x.unsure == 1
+// onlyUnsureLeft reports that a single target is left that may own the flow, and its
+// agent is unsure.
+func (x *search) onlyUnsureLeft() bool {
+	return x.candidates == 1 && x.unsure == 1
 }
 
-// patience is how long the search's circle is given.
+// scopeTimeout returns how long the search waits before its scope is widened.
 //
-// An unsure target that does not return the packet is most likely the owner, so it is
-// given longer before the packet goes to targets everywhere. Where questions wait for
-// their budget, no answer can be expected yet.
-func (s *Steerer) patience(x *search) clock.Millis {
+// An unsure target that does not return the packet is most likely the owner, so it has
+// more time before the packet goes to targets in all domains. While questions are rate
+// limited, no answer can be expected yet.
+func (s *Steerer) scopeTimeout(x *search) clock.Millis {
 	switch {
-	case x.hungry:
-		return searchFor
-	case s.questions.behind():
-		return behindStage
+	case x.speculationPending:
+		return searchTimeout
+	case s.questions.throttled():
+		return throttledTimeout
 	case x.unsure > 0:
-		return unsureStage
-	case x.stage == near:
-		return nearStage
+		return unsureTimeout
+	case x.scope == scopeDomain:
+		return domainTimeout
 	default:
-		return wideStage
+		return serviceTimeout
 	}
 }
 
-// repeat asks again where no answer came.
-func (s *Steerer) repeat(now clock.Millis, x *search) {
-	if now < x.again {
+// retryQuestions repeats unanswered questions.
+func (s *Steerer) retryQuestions(now clock.Millis, x *search) {
+	if now < x.retryAt {
 		return
 	}
-	x.again, x.pause = now+x.pause, 2*x.pause
-	if x.open == 0 || s.questions.behind() {
+	x.retryAt, x.retryDelay = now+x.retryDelay, 2*x.retryDelay
+	if x.candidates == 0 || s.questions.throttled() {
 		return
 	}
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.asked[t.Address]
-		if q != nil && q.search == x && q.holding == wire.Holding_HOLDING_UNKNOWN && !t.Lost(now) {
-			s.question(now, x, t)
+		a := x.flow.answers[t.Address]
+		if a != nil && a.search == x && a.holding == wire.Holding_HOLDING_UNKNOWN && !t.Lost(now) {
+			s.askDirectly(now, x, t)
 		}
 	}
 }
 
-// unowned reports that no target holds the flow: each that there is has said so,
+// deniedByAll reports that no target holds the flow: each known target has denied it
 // or is lost.
 //
-// A wrong reset would break a flow that is well, so it takes the word of every target,
-// also of those that have just started, and balancers that agree on who they are.
-func (s *Steerer) unowned(now clock.Millis, x *search) bool {
-	if !s.trusted(now) {
+// A wrong reset would break a healthy flow, so every target must have answered,
+// including those that have just started, and balancers must agree on the set of targets.
+func (s *Steerer) deniedByAll(now clock.Millis, x *search) bool {
+	if !s.mayReset(now) {
 		return false
 	}
-	unowned := true
+	denied := true
 	s.Targets.Each(func(t *Target) {
-		q := x.flow.asked[t.Address]
-		if q == nil || q.search != x || q.holding != wire.Holding_HOLDING_NOT && !t.Lost(now) {
-			unowned = false
+		a := x.flow.answers[t.Address]
+		if a == nil || a.search != x || a.holding != wire.Holding_HOLDING_NOT && !t.Lost(now) {
+			denied = false
 		}
 	})
-	return unowned
+	return denied
 }
 
-// heard takes an answer to a search.
-func (s *Steerer) heard(now clock.Millis, id segment.Flow, f *flow, from netip.AddrPort, holding wire.Holding) {
-	q := f.asked[from]
-	if q == nil || q.search != f.search {
+// handleSearchAnswer handles an agent's answer during a search.
+func (s *Steerer) handleSearchAnswer(now clock.Millis, id segment.Flow, f *flow, from netip.AddrPort, holding wire.Holding) {
+	a := f.answers[from]
+	if a == nil || a.search != f.search {
 		return
 	}
 	switch holding {
 	case wire.Holding_HOLDING_OWNED:
-		s.found(now, id, f, from)
+		s.ownerFound(now, id, f, from)
 	case wire.Holding_HOLDING_NOT:
-		s.denied(now, f, from)
+		s.handleDenial(now, f, from)
 	case wire.Holding_HOLDING_UNSURE:
-		if q.holding == wire.Holding_HOLDING_UNKNOWN && s.mayHand(id, from) {
-			q.holding = holding
+		if a.holding == wire.Holding_HOLDING_UNKNOWN && s.maySpeculate(id, from) {
+			a.holding = holding
 			f.search.unsure++
-			f.search.hungry = true
-			s.feed(now, f.search)
+			f.search.speculationPending = true
+			s.speculate(now, f.search)
 			s.advance(now, f.search)
 		}
 	}
 }
 
-// denied notes that a target does not hold the flow.
-func (s *Steerer) denied(now clock.Millis, f *flow, from netip.AddrPort) {
-	q := f.asked[from]
-	if q == nil || q.search != f.search {
+// handleDenial records that a target does not hold the flow.
+func (s *Steerer) handleDenial(now clock.Millis, f *flow, from netip.AddrPort) {
+	a := f.answers[from]
+	if a == nil || a.search != f.search {
 		return
 	}
-	if q.open {
-		q.open = false
-		f.search.open--
+	if a.candidate {
+		a.candidate = false
+		f.search.candidates--
 	}
-	wasUnsure := q.holding == wire.Holding_HOLDING_UNSURE
-	q.holding, q.at = wire.Holding_HOLDING_NOT, now
+	wasUnsure := a.holding == wire.Holding_HOLDING_UNSURE
+	a.holding, a.deniedAt = wire.Holding_HOLDING_NOT, now
 	if wasUnsure {
 		f.search.unsure--
-		s.handOn(f.search)
+		s.forwardToUnsure(f.search)
 	}
 	if t, ok := s.Targets.Find(from); ok {
-		q.from = process{epoch: t.Epoch, born: t.Born}
+		a.deniedBy = process{epoch: t.Epoch, born: t.Born}
 	}
 	s.advance(now, f.search)
 }
 
-// found ends a search at the flow's owner, which gets the packets that it was
-// not handed yet.
-func (s *Steerer) found(now clock.Millis, id segment.Flow, f *flow, agent netip.AddrPort) {
+// ownerFound ends a search with the flow's owner, and forwards to it the buffered
+// packets that it has not received yet.
+func (s *Steerer) ownerFound(now clock.Millis, id segment.Flow, f *flow, agent netip.AddrPort) {
 	x := f.search
 	t, ok := s.Targets.Find(agent)
 	if !ok {
 		return
 	}
-	x.end()
-	f.owner, f.service, f.last = takenBy(agent), t.Service, now
-	s.out.note(Event{
-		Kind: Found, Flow: id, Target: agent, Name: t.Name, Service: t.Service,
-		Age: now.Sub(x.began), Count: len(f.asked), Version: s.version(),
+	x.finish()
+	f.owner, f.service, f.lastSeen = confirmedBy(agent), t.Service, now
+	s.out.record(Event{
+		Kind: OwnerFound, Flow: id, Target: agent, Name: t.Name, Service: t.Service,
+		Age: now.Sub(x.startedAt), Count: len(f.answers), Version: s.version(),
 	})
-	s.hand(x, agent, f.asked[agent], len(x.packets))
-	f.asked = nil
+	s.forwardBuffered(x, agent, f.answers[agent], len(x.packets))
+	f.answers = nil
 }
 
-func (s *Steerer) giveUp(now clock.Millis, x *search) {
-	e := Event{Kind: GaveUp, Flow: x.id, Reason: "nobody holds it", Age: now.Sub(x.began), Version: s.version()}
+func (s *Steerer) failSearch(now clock.Millis, x *search) {
+	e := Event{Kind: SearchFailed, Flow: x.id, Reason: "no owner was found", Age: now.Sub(x.startedAt), Version: s.version()}
 	for _, t := range s.Targets.Sorted() {
-		q := x.flow.asked[t.Address]
+		a := x.flow.answers[t.Address]
 		switch {
-		case q == nil || q.search != x:
-		case q.holding == wire.Holding_HOLDING_NOT:
+		case a == nil || a.search != x:
+		case a.holding == wire.Holding_HOLDING_NOT:
 			e.Count++
-		case q.holding == wire.Holding_HOLDING_UNKNOWN:
-			e.Reason, e.Target, e.Name = "targets are silent", t.Address, t.Name
+		case a.holding == wire.Holding_HOLDING_UNKNOWN:
+			e.Reason, e.Target, e.Name = "a target did not answer", t.Address, t.Name
 		default:
 			e.Reason, e.Target, e.Name = "a target is unsure", t.Address, t.Name
 		}
 	}
-	s.out.note(e)
-	x.end()
-	s.remember(now, x.flow)
+	s.out.record(e)
+	x.finish()
+	s.retainAnswers(now, x.flow)
 }
--- a/internal/connection/stream/trace_test.go
+++ b/internal/connection/stream/trace_test.go
@@ -9,13 +9,13 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// TestTrace prints what one seed of TestWorld decides; WAGTAILTRAY_SEED names it.
+// TestTrace prints the decisions of one seed of TestWorld, given by WAGTAILTRAY_SEED.
 func TestTrace(t *testing.T) {
 	seed, err := strconv.Atoi(os.Getenv("WAGTAILTRAY_SEED"))
 	if err != nil {
 		return
 	}
-	w := faultyWorld(t, uint64(seed))
+	w := newFaultySimulation(t, uint64(seed))
 	w.trace = func(who string, events []Event) {
 		for _, e := range events {
 			fmt.Printf("%8.3f %-16s %-10s %v %v %s %s %d\n",
--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -203,9 +203,9 @@
 	b := &Balancer{
 		settings: settings, deps: deps,
 		steerer: stream.NewSteerer(deps.Clock.Now(), stream.Settings{
-			Domain: settings.Domain, Regions: settings.Regions, Share: settings.CPUShare, Address: settings.Parcels,
-			Evacuates: deps.Evacuations != nil,
-			Seed:      xxh3.HashString(settings.Name), Flows: maxFlows, FlowLife: settings.FlowTTL,
+			Domain: settings.Domain, Regions: settings.Regions, CPUShare: settings.CPUShare, Address: settings.Parcels,
+			AwaitEvacuations: deps.Evacuations != nil,
+			Seed:             xxh3.HashString(settings.Name), MaxFlows: maxFlows, FlowTTL: settings.FlowTTL,
 		}),
 		recorder:  decisions.NewRecorder(deps.Log, deps.Scope),
 		malformed: decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
@@ -248,7 +248,7 @@
 	parcels.Packets(b.edge, b.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.steerer.Arrive(b.deps.Clock.Now(), seg, packet)
+		b.steerer.HandlePacket(b.deps.Clock.Now(), seg, packet)
 		b.flush()
 	})
 }
@@ -283,7 +283,7 @@
 			b.refusedQuestions.Inc(1)
 		}
 	default:
-		if t, added := b.steerer.Hear(now, from, p, seg); added {
+		if t, added := b.steerer.HandleParcel(now, from, p, seg); added {
 			b.queueAnnouncement(now, t)
 		}
 	}
--- a/internal/process/streambalancer/sim_test.go
+++ b/internal/process/streambalancer/sim_test.go
@@ -368,7 +368,7 @@
 		seg := segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100}
 		to.maxDelay = max(to.maxDelay, to.busyUntil-f.now)
 		b := to.balancer
-		b.steerer.Arrive(f.syncClock(to), &seg, []byte("packet"))
+		b.steerer.HandlePacket(f.syncClock(to), &seg, []byte("packet"))
 		b.flush()
 	})
 }
