--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -11,40 +11,40 @@
 func (w *world) startAgent(a *worldAgent) {
 	a.epoch++
 	a.up = true
-	a.holder = NewHolder(w.now, HolderSettings{
+	a.holder = NewTracker(w.now, TrackerSettings{
 		Name: a.address.String(), Domain: a.domain, Service: a.service, Epoch: a.epoch, Port: worldPort,
-		Flows: 1000, FlowLife: worldLife, Heartbeat: worldBeat, SilentAfter: 3 * worldBeat,
+		MaxFlows: 1000, FlowTTL: worldLife, Heartbeat: worldBeat, HeartbeatTimeout: 3 * worldBeat,
 		Checkpoint: true,
 	})
-	h := a.holder
+	tr := a.holder
 	var tick func()
 	tick = func() {
-		if a.holder != h || !a.up {
+		if a.holder != tr || !a.up {
 			return
 		}
-		h.Tick(w.now)
-		if h.Doubts(w.now) {
+		tr.Tick(w.now)
+		if tr.DialDue(w.now) {
 			found := Listening
 			if a.target == nil || !a.target.alive {
-				found = []Look{Refusing, Unanswered}[w.random.IntN(2)]
+				found = []DialResult{Refusing, Unanswered}[w.random.IntN(2)]
 			}
-			h.Checked(w.now, found)
+			tr.RecordDial(w.now, found)
 		}
 		w.flushAgent(a)
 		w.after(50, tick)
 	}
 	w.after(1, tick)
-	w.restores(a)
+	w.restoreCheckpoint(a)
 	var tell func()
 	tell = func() {
-		if a.holder != h || !a.up {
+		if a.holder != tr || !a.up {
 			return
 		}
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		h.Tell(w.now, all)
+		tr.SendReport(w.now, all)
 		w.flushAgent(a)
 		w.after(500, tell)
 	}
@@ -52,18 +52,18 @@
 }
 
 func (w *world) flushAgent(a *worldAgent) {
-	if a.holder.Turned(w.now) {
+	if a.holder.ConditionChanged(w.now) {
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		a.holder.Tell(w.now, all)
+		a.holder.SendReport(w.now, all)
 	}
 	out := a.holder.Take()
 	w.note(a.address, out.Events)
 	for _, d := range out.Deliveries {
 		packet := mark(d.Packet, d.Echo, false)
-		w.after(0, func() { w.targetTakes(a, packet) })
+		w.after(0, func() { w.targetReceives(a, packet) })
 	}
 	for _, packet := range out.Answers {
 		s := decode(packet)
@@ -86,7 +86,7 @@
 					return
 				}
 				if p.Verb == wire.Verb_VERB_KEEP {
-					w.hearKeep(b, a.address, p.Checkpoint)
+					w.handleCheckpoint(b, a.address, p.Checkpoint)
 					return
 				}
 				b.steerer.Hear(w.now, a.address, p, carried(p))
@@ -106,7 +106,7 @@
 		}
 		t.sequence++
 		if a.up {
-			a.holder.Beat(w.now, Beat{
+			a.holder.HandleHeartbeat(w.now, Heartbeat{
 				Service: a.service, Born: t.born, Sequence: t.sequence, Age: w.now - clock.Millis(t.born),
 				Draining: t.draining, Slots: 4,
 			})
@@ -123,7 +123,7 @@
 }
 
 // targetTakes is the target's end of the protocol.
-func (w *world) targetTakes(a *worldAgent, packet []byte) {
+func (w *world) targetReceives(a *worldAgent, packet []byte) {
 	t := a.target
 	if t == nil || !t.alive {
 		return
@@ -145,13 +145,13 @@
 			end = &worldEnd{seq: w.random.Uint32()}
 			t.flows[id] = end
 		}
-		w.targetSends(a, segment.Segment{
+		w.sendFromTarget(a, segment.Segment{
 			Source: id.Listener, Destination: id.Caller, Flags: segment.Opens | segment.Acks, Seq: end.seq,
 		})
 		return
 	}
 	if end == nil || s.Ack != end.seq+1 {
-		w.after(0, func() { w.agentTakes(a, mark(packet, s.Echo, true)) })
+		w.after(0, func() { w.agentReceives(a, mark(packet, s.Echo, true)) })
 		return
 	}
 	if !end.open {
@@ -166,24 +166,24 @@
 	case s.Size == 0 || w.now < t.faulty && t.mute:
 	case w.now < t.faulty:
 		delete(t.flows, id)
-		w.targetSends(a, segment.Segment{
+		w.sendFromTarget(a, segment.Segment{
 			Source: id.Listener, Destination: id.Caller, Flags: segment.Resets | segment.Acks, Seq: end.seq + 1,
 		})
 	default:
-		w.targetSends(a, segment.Segment{
+		w.sendFromTarget(a, segment.Segment{
 			Source: id.Listener, Destination: id.Caller, Flags: segment.Acks, Seq: end.seq + 1, Ack: s.Seq, Size: 100,
 		})
 	}
 }
 
-func (w *world) targetSends(a *worldAgent, s segment.Segment) {
+func (w *world) sendFromTarget(a *worldAgent, s segment.Segment) {
 	packet := encode(s)
-	w.after(0, func() { w.agentTakes(a, packet) })
+	w.after(0, func() { w.agentReceives(a, packet) })
 }
 
-func (w *world) agentTakes(a *worldAgent, packet []byte) {
+func (w *world) agentReceives(a *worldAgent, packet []byte) {
 	if a.up {
-		a.holder.FromTarget(w.now, decode(packet), packet)
+		a.holder.HandleTargetPacket(w.now, decode(packet), packet)
 		w.flushAgent(a)
 	}
 }
--- a/internal/connection/stream/bench_test.go
+++ b/internal/connection/stream/bench_test.go
@@ -15,11 +15,11 @@
 	b.Helper()
 	s := NewSteerer(testNow-clock.Minute, Settings{Domain: "a", Flows: 10_000, FlowLife: worldLife})
 	for i := range targets {
-		r := ready(1, 1)
+		r := readyReport(1, 1)
 		r.Domain, r.Slots, r.Flows, r.Busy, r.Serving = string(rune('a'+i%3)), 2, uint32(20+i%7), uint32(50+i%40), 25
 		s.Hear(testNow, worldAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
-	s.Targets.SetSharers(6)
+	s.Targets.SetBalancers(6)
 	return s
 }
 
--- a/internal/connection/stream/candidates.go
+++ b/internal/connection/stream/candidates.go
@@ -8,7 +8,7 @@
 	cost   float64
 	step   float64
 	// part is the target's part of the next flows.
-	part float64
+	share float64
 }
 
 // candidates are targets for a new flow, and the least cost among them.
@@ -42,11 +42,11 @@
 	left := draw * total
 	for i := range c.all {
 		x := &c.all[i]
-		if left >= 0 && left < x.part {
+		if left >= 0 && left < x.share {
 			chosen = x.target
 		}
-		left -= x.part
-		x.target.placed += (sharers - 1) * x.part / total
+		left -= x.share
+		x.target.placed += (sharers - 1) * x.share / total
 	}
 	chosen.placed++
 	return chosen, true
@@ -56,19 +56,19 @@
 // equally loaded afterwards, and returns the sum of the parts. Targets that cost about the
 // least are taken for alike.
 func (c *candidates) divide(flows float64) float64 {
-	level := max(c.level(flows), c.best+evenly)
+	level := max(c.fillLevel(flows), c.best+equalCostMargin)
 	total := 0.0
 	for i := range c.all {
 		x := &c.all[i]
-		x.part = max(level-x.cost, 0) / x.step
-		total += x.part
+		x.share = max(level-x.cost, 0) / x.step
+		total += x.share
 	}
 	return total
 }
 
 // level is the cost up to which a number of flows fills the targets. Those above it get none,
 // and the others share what they would have got: each round leaves some out, or is the last.
-func (c *candidates) level(flows float64) float64 {
+func (c *candidates) fillLevel(flows float64) float64 {
 	level := math.Inf(1)
 	for range c.all {
 		room, cost := 0.0, 0.0
--- a/internal/connection/stream/choose.go
+++ b/internal/connection/stream/choose.go
@@ -7,20 +7,20 @@
 const (
 	// coldFactor is how much dearer a target is that has just started and
 	// works slower for some seconds.
-	coldFactor = 1.6
+	coldCostFactor = 1.6
 	// overload is the part of its slots in use from which a target answers
 	// noticeably later, and crossing by how much less a target elsewhere must be
 	// loaded for a flow to leave its failure domain. Packets between domains are
 	// paid for by the byte for as long as the flow lives, so a flow goes out only
 	// where its own domain is overloaded and another one clearly is not.
-	overload = 0.9
-	crossing = 0.3
+	overloadThreshold = 0.9
+	crossDomainMargin = 0.3
 	// evenly is by how much the costs of targets may differ that are taken for alike:
 	// what is known of their load is no more exact.
-	evenly = 0.05
+	equalCostMargin = 0.05
 	// leastFlowLoad is what a flow counts for where no requests were seen yet,
 	// in requests under way.
-	leastFlowLoad = 0.01
+	minFlowLoad = 0.01
 	// busyScale is the unit of the load in reports: hundredths of a request.
 	busyScale = 100
 )
@@ -38,18 +38,18 @@
 	for _, t := range targets {
 		flows += t.Flows
 		busy += t.Busy
-		if t.Serving > 0 {
-			serving += t.Serving
+		if t.MeanLatency > 0 {
+			serving += t.MeanLatency
 			known++
 		}
 	}
-	l := flowLoad{open: leastFlowLoad}
+	l := flowLoad{open: minFlowLoad}
 	if flows > 0 {
-		l.open = max(busy/float64(flows), leastFlowLoad)
+		l.open = max(busy/float64(flows), minFlowLoad)
 	}
 	l.fresh = l.open
 	if known > 0 {
-		l.fresh += min(float64(serving)/float64(known)/float64(nearProbe), 1)
+		l.fresh += min(float64(serving)/float64(known)/float64(localProbeInterval), 1)
 	}
 	return l
 }
@@ -64,19 +64,19 @@
 // one target that looked idle.
 func (ts *Targets) cost(now clock.Millis, t *Target, l flowLoad) float64 {
 	expected := l.open * float64(t.Flows)
-	c := (expected+t.Busy)/2 + l.fresh*(t.placed+t.earlier)
+	c := (expected+t.Busy)/2 + l.fresh*(t.placed+t.placedBefore)
 	c /= float64(max(t.Slots, 1))
 	if now < t.ColdUntil {
-		c *= coldFactor
+		c *= coldCostFactor
 	}
 	return c
 }
 
 // step is by how much a new flow raises the target's cost.
-func (t *Target) step(now clock.Millis, l flowLoad) float64 {
+func (t *Target) costStep(now clock.Millis, l flowLoad) float64 {
 	s := l.fresh / float64(max(t.Slots, 1))
 	if now < t.ColdUntil {
-		s *= coldFactor
+		s *= coldCostFactor
 	}
 	return s
 }
@@ -85,11 +85,11 @@
 //
 // Then the cause is something that all need, or one caller's requests; leaving them out
 // one by one would break the last ones down under all flows.
-func mostFail(now clock.Millis, targets []*Target) bool {
+func mostFailing(now clock.Millis, targets []*Target) bool {
 	ready, fail := 0, 0
 	for _, t := range targets {
 		switch {
-		case t.Opens(now):
+		case t.AcceptsFlows(now):
 			ready++
 		case t.failing(now):
 			fail++
@@ -99,8 +99,8 @@
 }
 
 // ready reports whether there is a target for a new flow.
-func (ts *Targets) ready(now clock.Millis, d *Demand) bool {
-	for _, t := range ts.want(now, d.Service) {
+func (ts *Targets) hasUsable(now clock.Millis, d *PlacementRequest) bool {
+	for _, t := range ts.useService(now, d.Service) {
 		if ts.usable(now, t, d, true) {
 			return true
 		}
@@ -116,17 +116,17 @@
 //
 // What was placed at home since the last reports counts elsewhere too: when all callers
 // come back at once, other balancers place as many at theirs.
-func (ts *Targets) Choose(now clock.Millis, d Demand) (*Target, bool) {
+func (ts *Targets) Choose(now clock.Millis, d PlacementRequest) (*Target, bool) {
 	near, far := candidates{all: ts.near[:0]}, candidates{all: ts.far[:0]}
-	targets := ts.want(now, d.Service)
+	targets := ts.useService(now, d.Service)
 	l := flowLoads(targets)
-	all := mostFail(now, targets)
+	all := mostFailing(now, targets)
 	placed := 0.0
 	for _, t := range targets {
 		if !ts.usable(now, t, &d, all) {
 			continue
 		}
-		c := candidate{target: t, cost: ts.cost(now, t, l), step: t.step(now, l)}
+		c := candidate{target: t, cost: ts.cost(now, t, l), step: t.costStep(now, l)}
 		if t.Domain != ts.domain {
 			far.add(c)
 			continue
@@ -136,8 +136,8 @@
 	}
 	ts.near, ts.far = near.all, far.all
 	from := &near
-	if len(near.all) == 0 || near.best > overload && len(far.all) > 0 && far.best+placed+crossing < near.best {
+	if len(near.all) == 0 || near.best > overloadThreshold && len(far.all) > 0 && far.best+placed+crossDomainMargin < near.best {
 		from = &far
 	}
-	return from.choose(ts.random.Float64(), ts.sharers)
+	return from.choose(ts.random.Float64(), ts.balancers)
 }
--- a/internal/connection/stream/choose_test.go
+++ b/internal/connection/stream/choose_test.go
@@ -14,7 +14,7 @@
 const testNow = 24 * clock.Hour
 
 // load is a target's report, as its agent would send it.
-type load struct {
+type targetLoad struct {
 	domain string
 	flows  int
 	busy   float64
@@ -23,10 +23,10 @@
 
 // loaded returns targets of one service with these loads, in a balancer of the
 // failure domain "a". Targets have four slots.
-func loaded(loads ...load) *Targets {
+func newLoadedTargets(loads ...targetLoad) *Targets {
 	ts := NewTargets("a", nil, 1)
 	for i, l := range loads {
-		ts.Report(testNow, worldAddress(2, i), &wire.Report{
+		ts.ApplyReport(testNow, worldAddress(2, i), &wire.Report{
 			Name: fmt.Sprint("t", i), Domain: l.domain, Service: "one", Epoch: 1, Sequence: 1, Born: 1,
 			Condition: wire.Condition_CONDITION_READY, Slots: 4, Flows: uint32(l.flows),
 			Busy: uint32(l.busy * busyScale), Cold: l.cold,
@@ -36,10 +36,10 @@
 }
 
 // place chooses for that many openings and counts them by target.
-func place(ts *Targets, openings int) []int {
+func placeOpenings(ts *Targets, openings int) []int {
 	counts := make([]int, ts.Len())
 	for range openings {
-		t, ok := ts.Choose(testNow, Demand{Service: "one"})
+		t, ok := ts.Choose(testNow, PlacementRequest{Service: "one"})
 		if !ok {
 			continue
 		}
@@ -55,7 +55,7 @@
 // A burst arrives between two reports. One target looked idle a moment ago; it
 // must not get all of it.
 func TestChooseBurst(t *testing.T) {
-	counts := place(loaded(load{"a", 30, 1.2, 0}, load{"a", 30, 1.2, 0}, load{"a", 24, 0.9, 0}), 90)
+	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 30, 1.2, 0}, targetLoad{"a", 30, 1.2, 0}, targetLoad{"a", 24, 0.9, 0}), 90)
 	if counts[2] < 30 || counts[2] > 45 || counts[0] < 20 || counts[1] < 20 {
 		t.Errorf("90 openings went %v", counts)
 	}
@@ -64,16 +64,16 @@
 // Twenty balancers know the same loads of nine targets, all of which have room, and get
 // three openings each before they hear more. The flows must not all go to the one target
 // that looked best a moment ago, whose queue would overflow beside idle ones.
-func TestChooseTogether(t *testing.T) {
+func TestChooseSpreadsAcrossBalancers(t *testing.T) {
 	total := make([]int, 9)
 	for seed := range uint64(20) {
-		loads := make([]load, len(total))
+		loads := make([]targetLoad, len(total))
 		for i := range loads {
-			loads[i] = load{"a", 10 + i%2, 0.1, 0}
+			loads[i] = targetLoad{"a", 10 + i%2, 0.1, 0}
 		}
-		ts := loaded(loads...)
+		ts := newLoadedTargets(loads...)
 		ts.random = rand.New(rand.NewPCG(seed, 0))
-		for i, n := range place(ts, 3) {
+		for i, n := range placeOpenings(ts, 3) {
 			total[i] += n
 		}
 	}
@@ -85,8 +85,8 @@
 // All callers come back at once, in every failure domain. What this balancer has
 // placed at home since the last reports must not send the rest elsewhere, where
 // others place as many.
-func TestChooseHerdStaysHome(t *testing.T) {
-	counts := place(loaded(load{"a", 2, 1, 0}, load{"a", 2, 1, 0}, load{"b", 2, 1, 0}, load{"b", 2, 1, 0}), 400)
+func TestChooseBurstStaysInDomain(t *testing.T) {
+	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 2, 1, 0}, targetLoad{"a", 2, 1, 0}, targetLoad{"b", 2, 1, 0}, targetLoad{"b", 2, 1, 0}), 400)
 	if counts[2]+counts[3] > 0 {
 		t.Errorf("of 400 openings some left the failure domain: %v", counts)
 	}
@@ -96,11 +96,11 @@
 // half idle: new flows go out, for a request would wait longer at home than the
 // way takes.
 func TestChooseLeavesOverload(t *testing.T) {
-	counts := place(loaded(load{"a", 90, 5, 0}, load{"a", 90, 5, 0}, load{"b", 40, 1.5, 0}), 20)
+	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 90, 5, 0}, targetLoad{"a", 90, 5, 0}, targetLoad{"b", 40, 1.5, 0}), 20)
 	if counts[2] < 15 {
 		t.Errorf("of 20 openings only %d left an overloaded failure domain", counts[2])
 	}
-	counts = place(loaded(load{"a", 60, 2.6, 0}, load{"a", 60, 2.6, 0}, load{"b", 5, 0.2, 0}), 20)
+	counts = placeOpenings(newLoadedTargets(targetLoad{"a", 60, 2.6, 0}, targetLoad{"a", 60, 2.6, 0}, targetLoad{"b", 5, 0.2, 0}), 20)
 	if counts[2] > 0 {
 		t.Errorf("%d of 20 openings left a failure domain that is busy but well", counts[2])
 	}
@@ -109,7 +109,7 @@
 // A target has become slow: it has as many flows as the others, but their requests
 // pile up. It gets fewer of the next flows.
 func TestChooseAvoidsSlow(t *testing.T) {
-	counts := place(loaded(load{"a", 30, 3.6, 0}, load{"a", 30, 0.9, 0}, load{"a", 30, 0.9, 0}), 30)
+	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 30, 3.6, 0}, targetLoad{"a", 30, 0.9, 0}, targetLoad{"a", 30, 0.9, 0}), 30)
 	if counts[0] > 2 {
 		t.Errorf("the slow target got %d of 30 openings", counts[0])
 	}
@@ -118,7 +118,7 @@
 // A target that has just started works slower for a while; it is empty, and still
 // must not get the whole burst.
 func TestChooseCold(t *testing.T) {
-	counts := place(loaded(load{"a", 30, 1, 0}, load{"a", 30, 1, 0}, load{"a", 0, 0, 2000}), 60)
+	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 30, 1, 0}, targetLoad{"a", 30, 1, 0}, targetLoad{"a", 0, 0, 2000}), 60)
 	if counts[2] < 20 || counts[2] > 50 {
 		t.Errorf("the cold target got %d of 60 openings", counts[2])
 	}
@@ -126,34 +126,34 @@
 
 // A target was tried already, or is suspected, draining, restarting or not known
 // to be ready: it gets no opening.
-func TestChooseLeavesOut(t *testing.T) {
-	ts := loaded(load{"a", 0, 0, 0}, load{"a", 0, 0, 0})
+func TestChooseSkipsUnusable(t *testing.T) {
+	ts := newLoadedTargets(targetLoad{"a", 0, 0, 0}, targetLoad{"a", 0, 0, 0})
 	first, second := worldAddress(2, 0), worldAddress(2, 1)
-	if got, ok := ts.Choose(testNow, Demand{Service: "one", Tried: []netip.AddrPort{first}}); !ok || got.Address != second {
+	if got, ok := ts.Choose(testNow, PlacementRequest{Service: "one", Tried: []netip.AddrPort{first}}); !ok || got.Address != second {
 		t.Errorf("after the first was tried: %v", got)
 	}
-	ts.Due(testNow)
+	ts.DueProbes(testNow)
 	for at := testNow; at < testNow+clock.Second; at += 50 {
-		ts.Due(at)
+		ts.DueProbes(at)
 	}
-	if got, ok := ts.Choose(testNow+clock.Second, Demand{Service: "one"}); ok {
+	if got, ok := ts.Choose(testNow+clock.Second, PlacementRequest{Service: "one"}); ok {
 		t.Errorf("a target that does not answer was chosen: %v", got)
 	}
-	ts.Report(testNow+clock.Second, first, &wire.Report{
+	ts.ApplyReport(testNow+clock.Second, first, &wire.Report{
 		Service: "one", Epoch: 1, Sequence: 2, Born: 1, Condition: wire.Condition_CONDITION_DRAINING, Slots: 4,
 	})
-	if got, ok := ts.Choose(testNow+clock.Second, Demand{Service: "one"}); ok {
+	if got, ok := ts.Choose(testNow+clock.Second, PlacementRequest{Service: "one"}); ok {
 		t.Errorf("a draining target was chosen: %v", got)
 	}
 }
 
 // The balancer stands still for seconds while all targets are well. When it goes
 // on, none counts as lost, or their flows would be reset.
-func TestPausedBalancerLosesNobody(t *testing.T) {
-	ts := loaded(load{"a", 0, 0, 0})
-	ts.Due(testNow)
+func TestPausedBalancerLosesNoTargets(t *testing.T) {
+	ts := newLoadedTargets(targetLoad{"a", 0, 0, 0})
+	ts.DueProbes(testNow)
 	later := testNow + 10*clock.Second
-	ts.Due(later)
+	ts.DueProbes(later)
 	if target, _ := ts.Find(worldAddress(2, 0)); target.Lost(later) {
 		t.Error("a target counts as lost after the balancer's own pause")
 	}
@@ -163,25 +163,25 @@
 // so, and balancers do not wait for its word about any flow; an agent that is only
 // restarted is waited for, but not for ever.
 func TestStopWithoutTarget(t *testing.T) {
-	h := NewHolder(testNow, HolderSettings{Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 10, Epoch: 1})
-	for range absences {
-		h.Checked(testNow+1000, Refusing)
+	tr := NewTracker(testNow, TrackerSettings{Service: "one", Heartbeat: 1200, HeartbeatTimeout: 3600, MaxFlows: 10, Epoch: 1})
+	for range minFailedDials {
+		tr.RecordDial(testNow+1000, Refusing)
 	}
-	h.Stop(testNow + 1001)
+	tr.Stop(testNow + 1001)
 	balancer := worldAddress(1, 0)
-	h.Tell(testNow+1001, []netip.AddrPort{balancer})
-	if r := h.Take().Sends[0].Parcel.Report; r.Condition != wire.Condition_CONDITION_GONE {
+	tr.SendReport(testNow+1001, []netip.AddrPort{balancer})
+	if r := tr.Take().Sends[0].Parcel.Report; r.Condition != wire.Condition_CONDITION_GONE {
 		t.Errorf("an agent without a target stops as %v", r.Condition)
 	}
-	ts := loaded(load{"a", 0, 0, 0})
+	ts := newLoadedTargets(targetLoad{"a", 0, 0, 0})
 	target, _ := ts.Find(worldAddress(2, 0))
-	ts.Report(testNow, target.Address, &wire.Report{
+	ts.ApplyReport(testNow, target.Address, &wire.Report{
 		Service: "one", Epoch: 1, Sequence: 2, Born: 1, Restarting: true, Condition: wire.Condition_CONDITION_READY,
 	})
 	for at := testNow; at < testNow+10*clock.Second; at += 50 {
-		ts.Due(at)
+		ts.DueProbes(at)
 	}
-	if target.Lost(testNow + deadAfter + 500) {
+	if target.Lost(testNow + lostAfter + 500) {
 		t.Error("an agent that restarts counts as lost at once")
 	}
 	if !target.Lost(testNow + 10*clock.Second) {
@@ -193,35 +193,35 @@
 // many are known as there may be, and no more.
 func TestTargetsAreBounded(t *testing.T) {
 	ts := NewTargets("a", nil, 1)
-	for i := range 3 * mostTargets {
-		ts.Report(testNow, worldAddress(i>>16, 2*i), &wire.Report{Service: "one", Epoch: 1, Sequence: 1})
+	for i := range 3 * maxTargets {
+		ts.ApplyReport(testNow, worldAddress(i>>16, 2*i), &wire.Report{Service: "one", Epoch: 1, Sequence: 1})
 		ts.Learn(testNow, worldAddress(i>>16, 2*i+1), "t", "a", "one")
 	}
-	for i := range 3 * mostTargets {
-		ts.Report(testNow, worldAddress(9, i), &wire.Report{Epoch: 1, Sequence: 1, Condition: wire.Condition_CONDITION_GONE})
+	for i := range 3 * maxTargets {
+		ts.ApplyReport(testNow, worldAddress(9, i), &wire.Report{Epoch: 1, Sequence: 1, Condition: wire.Condition_CONDITION_GONE})
 	}
-	if ts.Len() > mostTargets || len(ts.left) > mostTargets {
-		t.Errorf("%d targets and %d that left are known, want up to %d", ts.Len(), len(ts.left), mostTargets)
+	if ts.Len() > maxTargets || len(ts.departed) > maxTargets {
+		t.Errorf("%d targets and %d that left are known, want up to %d", ts.Len(), len(ts.departed), maxTargets)
 	}
 }
 
 // A target becomes ready a second after all others, when these are busy. Each balancer sees
 // one idle target and has a few openings before it hears more: together they must not send
 // it more than makes it as busy as the others, however many they are.
-func TestChooseLateTargetAmongBusyOnes(t *testing.T) {
+func TestChooseIdleTargetAmongBusyOnes(t *testing.T) {
 	// Twenty flows make it as busy as the others, and a ninth of the rest is its part.
 	const most = 20 + 9 + 5
 	for _, balancers := range []int{2, 6, 19, 91} {
 		total := 0
 		for seed := range uint64(balancers) {
-			loads := []load{{"a", 0, 0, 0}}
+			loads := []targetLoad{{"a", 0, 0, 0}}
 			for range 8 {
-				loads = append(loads, load{"a", 20, 4, 0})
+				loads = append(loads, targetLoad{"a", 20, 4, 0})
 			}
-			ts := loaded(loads...)
+			ts := newLoadedTargets(loads...)
 			ts.random = rand.New(rand.NewPCG(seed, 0))
-			ts.SetSharers(balancers)
-			total += place(ts, max(100/balancers, 1))[0]
+			ts.SetBalancers(balancers)
+			total += placeOpenings(ts, max(100/balancers, 1))[0]
 		}
 		if total > most {
 			t.Errorf("%d balancers sent %d of 100 openings to one target, want up to %d", balancers, total, most)
@@ -233,9 +233,9 @@
 func TestChooseAnyLoad(t *testing.T) {
 	for _, busy := range []float64{0, 1, 1e3, 4e7} {
 		for _, sharers := range []int{1, 19, 91} {
-			ts := loaded(load{"a", 0, busy, 0}, load{"a", 1 << 30, 0, 0}, load{"b", 3, busy, 2000})
-			ts.SetSharers(sharers)
-			if counts := place(ts, 20); counts[0]+counts[1]+counts[2] != 20 {
+			ts := newLoadedTargets(targetLoad{"a", 0, busy, 0}, targetLoad{"a", 1 << 30, 0, 0}, targetLoad{"b", 3, busy, 2000})
+			ts.SetBalancers(sharers)
+			if counts := placeOpenings(ts, 20); counts[0]+counts[1]+counts[2] != 20 {
 				t.Errorf("busy %g, %d balancers: 20 openings went %v", busy, sharers, counts)
 			}
 		}
--- a/internal/connection/stream/look.go
+++ b/internal/connection/stream/dial.go
@@ -7,23 +7,23 @@
 const (
 	// answerWithin is how long a target may take to answer or return an opening.
 	// It does so in less than a millisecond, unless it is short of processor time.
-	answerWithin = 150 * clock.Millis(1)
+	openingTimeout = 150 * clock.Millis(1)
 	// checkEvery is the pause between two looks whether the target is there, and
 	// absences how many in a row must find nobody.
-	checkEvery = 200 * clock.Millis(1)
-	absences   = 2
+	dialInterval   = 200 * clock.Millis(1)
+	minFailedDials = 2
 	// emptyBeats is for how many heartbeats an agent has waited for its target's
 	// first one when there is none.
-	emptyBeats = 2
+	firstHeartbeatWait = 2
 )
 
 // Look is what was found at the target's address.
-type Look int
+type DialResult int
 
 // Findings.
 const (
 	// Listening means that a process accepts connections.
-	Listening Look = iota
+	Listening DialResult = iota
 	// Refusing means that the VM says that there is none.
 	Refusing
 	// Unanswered means that nobody said anything in time.
@@ -35,33 +35,33 @@
 //
 // A crashed process no longer listens, which its own VM says at once, long before its
 // heartbeats are missed.
-func (h *Holder) Doubts(now clock.Millis) bool {
-	u := &h.upstream
-	silent := !u.known || now.Sub(u.beat) > h.settings.Heartbeat+h.settings.Heartbeat/2
-	stuck := u.pending != 0 && now.Sub(u.pending) > answerWithin
-	if u.gone || !silent && !stuck || now.Sub(u.checked) < checkEvery {
+func (tr *Tracker) DialDue(now clock.Millis) bool {
+	u := &tr.upstream
+	silent := !u.known || now.Sub(u.lastHeartbeat) > tr.settings.Heartbeat+tr.settings.Heartbeat/2
+	stuck := u.pendingSince != 0 && now.Sub(u.pendingSince) > openingTimeout
+	if u.gone || !silent && !stuck || now.Sub(u.lastDial) < dialInterval {
 		return false
 	}
-	u.checked = now
+	u.lastDial = now
 	return true
 }
 
 // Checked takes what a look has found.
-func (h *Holder) Checked(now clock.Millis, found Look) {
-	u := &h.upstream
+func (tr *Tracker) RecordDial(now clock.Millis, found DialResult) {
+	u := &tr.upstream
 	before := u.down()
-	u.listens = found == Listening
+	u.listening = found == Listening
 	switch found {
 	case Listening:
-		u.refused, u.unanswered = 0, 0
+		u.refusedDials, u.unansweredDials = 0, 0
 	case Refusing:
-		u.refused++
+		u.refusedDials++
 	case Unanswered:
-		u.unanswered++
+		u.unansweredDials++
 	}
 	if !before && u.down() && u.known {
-		h.out.note(Event{Kind: Upstream, Reason: "nobody listens", Service: h.settings.Service, Age: now.Sub(u.seen)})
-		h.resetBefore(now+1, "the target has crashed")
+		tr.out.note(Event{Kind: Upstream, Reason: "nobody listens", Service: tr.settings.Service, Age: now.Sub(u.lastSeen)})
+		tr.resetFlowsBefore(now+1, "the target has crashed")
 	}
 }
 
@@ -70,8 +70,8 @@
 // A target that lives sends a heartbeat, or a packet, within two heartbeats, and its VM
 // answers a look. Without all three there is none, and the agent need not be unsure of
 // every flow that balancers search.
-func (h *Holder) empty(now clock.Millis) bool {
-	u := &h.upstream
-	nobody := u.refused >= absences || u.unanswered >= absences
-	return !u.known && u.seen == 0 && nobody && now.Sub(h.started) > emptyBeats*h.settings.Heartbeat
+func (tr *Tracker) noTarget(now clock.Millis) bool {
+	u := &tr.upstream
+	nobody := u.refusedDials >= minFailedDials || u.unansweredDials >= minFailedDials
+	return !u.known && u.lastSeen == 0 && nobody && now.Sub(tr.startedAt) > firstHeartbeatWait*tr.settings.Heartbeat
 }
--- a/internal/connection/stream/empty_test.go
+++ b/internal/connection/stream/empty_test.go
@@ -9,29 +9,29 @@
 )
 
 // alone is an agent that has just started and has not heard of a target.
-func alone() *Holder {
-	return NewHolder(testNow, HolderSettings{
-		Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 10, FlowLife: worldLife, Epoch: 1, Port: worldPort,
+func alone() *Tracker {
+	return NewTracker(testNow, TrackerSettings{
+		Service: "one", Heartbeat: 1200, HeartbeatTimeout: 3600, MaxFlows: 10, FlowTTL: worldLife, Epoch: 1, Port: worldPort,
 	})
 }
 
 // says asks an agent about a flow.
-func says(h *Holder, now clock.Millis) wire.Holding {
+func says(h *Tracker, now clock.Millis) wire.Holding {
 	h.Take()
 	q := newQuestions(0, always)
 	q.add(now, worldAddress(2, 0), false, segment.Flow{Caller: worldAddress(100, 0), Listener: worldListener}, 7)
 	var out Outcome
 	q.flush(now, 0, &out)
-	h.Hear(now, worldAddress(1, 0), out.Sends[0].Parcel, nil)
+	h.HandleParcel(now, worldAddress(1, 0), out.Sends[0].Parcel, nil)
 	return wire.Holding(h.Take().Sends[0].Parcel.Holdings[0])
 }
 
 // handed hands the agent a packet of that flow, which the VM returns.
-func handed(h *Holder, now clock.Millis) {
+func handed(h *Tracker, now clock.Millis) {
 	s := segment.Segment{
 		Source: worldAddress(100, 0), Destination: worldListener, Flags: segment.Acks | segment.Returned, Ack: 7,
 	}
-	h.FromTarget(now, &s, encode(s))
+	h.HandleTargetPacket(now, &s, encode(s))
 }
 
 // All VMs lost power, also one whose target had left for good. Its agent starts
@@ -43,9 +43,9 @@
 	if got := says(h, testNow+10); got != wire.Holding_HOLDING_UNKNOWN {
 		t.Errorf("an agent that has just started says %v", got)
 	}
-	for i := range clock.Millis(absences) {
-		h.Checked(testNow+50+i*checkEvery, Refusing)
-		handed(h, testNow+60+i*checkEvery)
+	for i := range clock.Millis(minFailedDials) {
+		h.RecordDial(testNow+50+i*dialInterval, Refusing)
+		handed(h, testNow+60+i*dialInterval)
 	}
 	if got := says(h, testNow+300); got != wire.Holding_HOLDING_NOT {
 		t.Errorf("after refused looks the agent says %v", got)
@@ -59,7 +59,7 @@
 func TestUnansweredLooksAreNoProof(t *testing.T) {
 	h := alone()
 	for i := range clock.Millis(3) {
-		h.Checked(testNow+50+i*checkEvery, Unanswered)
+		h.RecordDial(testNow+50+i*dialInterval, Unanswered)
 	}
 	if got := says(h, testNow+700); got != wire.Holding_HOLDING_UNKNOWN {
 		t.Errorf("after looks without an answer the agent says %v", got)
@@ -67,14 +67,14 @@
 	if got := h.report(testNow+2300, 0).Condition; got != wire.Condition_CONDITION_UNKNOWN {
 		t.Errorf("before two heartbeats were due the target is %v", got)
 	}
-	later := testNow + emptyBeats*1200 + 1
+	later := testNow + firstHeartbeatWait*1200 + 1
 	if got := h.report(later, 0).Condition; got != wire.Condition_CONDITION_GONE {
 		t.Errorf("after two heartbeats were due the target is %v", got)
 	}
 	if got := says(h, later); got != wire.Holding_HOLDING_NOT {
 		t.Errorf("after two heartbeats were due the agent says %v", got)
 	}
-	h.Beat(later+1, Beat{Service: "one", Born: 5, Sequence: 1, Slots: 2})
+	h.HandleHeartbeat(later+1, Heartbeat{Service: "one", Born: 5, Sequence: 1, Slots: 2})
 	if !h.Accepting(later + 1) {
 		t.Error("a target that starts late gets no flows")
 	}
@@ -87,17 +87,17 @@
 // balancer hears that this one does not hold it.
 func TestResetOfStrangerStaysHere(t *testing.T) {
 	h := alone()
-	h.Checked(testNow+1, Listening)
+	h.RecordDial(testNow+1, Listening)
 	if got := says(h, testNow+10); got != wire.Holding_HOLDING_UNSURE {
 		t.Errorf("an agent beside a process that listens says %v", got)
 	}
 	packet := segment.Segment{Source: worldAddress(100, 0), Destination: worldListener, Flags: segment.Acks, Ack: 7, Size: 100}
-	h.Hear(testNow+11, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
+	h.HandleParcel(testNow+11, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
 	if got := len(h.Take().Deliveries); got != 1 {
 		t.Fatalf("the packet was handed over %d times", got)
 	}
 	reset := segment.Segment{Source: worldListener, Destination: worldAddress(100, 0), Flags: segment.Resets, Seq: 8}
-	h.FromTarget(testNow+12, &reset, encode(reset))
+	h.HandleTargetPacket(testNow+12, &reset, encode(reset))
 	out := h.Take()
 	if len(out.Answers) > 0 || len(out.Resets) > 0 {
 		t.Error("the caller was reset by a target that does not hold its flow")
--- a/internal/connection/stream/evacuation_test.go
+++ b/internal/connection/stream/evacuation_test.go
@@ -13,7 +13,7 @@
 
 // evacuating returns a balancer of failure domain a, with a target in each of some domains,
 // that has run for long and knows the evacuations.
-func evacuating(t *testing.T, table *routing.Table, evacuated []string, domains ...string) *Steerer {
+func newEvacuatingSteerer(t *testing.T, table *routing.Table, evacuated []string, domains ...string) *Steerer {
 	t.Helper()
 	s := NewSteerer(testNow-clock.Minute, Settings{
 		Domain: "a", Regions: map[string]string{"a": "north", "b": "north", "c": "south"}, Evacuates: true,
@@ -21,17 +21,17 @@
 	})
 	s.SetTable(testNow, table)
 	for i, d := range domains {
-		r := ready(1, 1)
+		r := readyReport(1, 1)
 		r.Domain, r.Slots = d, 4
 		s.Hear(testNow, worldAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
-	s.TakeEvacuations(testNow, evacuation.New(5, evacuated))
+	s.UpdateEvacuations(testNow, evacuation.New(5, evacuated))
 	s.Take()
 	return s
 }
 
 // openedAt counts the openings that were sent to each target.
-func openedAt(out Outcome, targets int) []int {
+func countOpeningsPerTarget(out Outcome, targets int) []int {
 	counts := make([]int, targets)
 	for _, send := range out.Sends {
 		for i := range counts {
@@ -45,29 +45,29 @@
 
 // A failure domain is evacuated at the peak: from the order on nothing is opened there, by
 // balancers that live in it as by others, until it is withdrawn.
-func TestNothingOpensWhereEvacuated(t *testing.T) {
-	s := evacuating(t, oneListener(t), []string{"a"}, "a", "b")
+func TestNoOpeningsInEvacuatedDomain(t *testing.T) {
+	s := newEvacuatingSteerer(t, oneListener(t), []string{"a"}, "a", "b")
 	for i := range 100 {
 		opens(s, testNow, i)
 	}
-	if got := openedAt(s.Take(), 2); got[0] != 0 || got[1] != 100 {
+	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 0 || got[1] != 100 {
 		t.Errorf("openings went %v", got)
 	}
-	s.TakeEvacuations(testNow, evacuation.New(4, nil))
+	s.UpdateEvacuations(testNow, evacuation.New(4, nil))
 	opens(s, testNow, 200)
-	if got := openedAt(s.Take(), 2); got[0] != 0 {
+	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 0 {
 		t.Error("an older word has undone the order")
 	}
-	s.TakeEvacuations(testNow, evacuation.New(6, nil))
+	s.UpdateEvacuations(testNow, evacuation.New(6, nil))
 	opens(s, testNow, 201)
-	if got := openedAt(s.Take(), 2); got[0] != 1 {
+	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 1 {
 		t.Error("the order was withdrawn, and nothing is opened")
 	}
 }
 
 // Every failure domain is evacuated, or no target is in a home region of the listener: the
 // caller is told at once that nothing has run, and does not wait until its deadline.
-func TestRefusedAtOnceWhereNothingMayOpen(t *testing.T) {
+func TestRefusedAtOnceWithoutUsableTarget(t *testing.T) {
 	homes := oneListener(t)
 	homes.Listeners[0].Homes = []string{"south"}
 	for _, c := range []struct {
@@ -83,7 +83,7 @@
 		{"home evacuated", homes, []string{"c"}, []string{"a", "c"}, true},
 		{"no target at all", oneListener(t), []string{"a"}, nil, false},
 	} {
-		s := evacuating(t, c.table, c.evacuated, c.domains...)
+		s := newEvacuatingSteerer(t, c.table, c.evacuated, c.domains...)
 		opens(s, testNow, 1)
 		out := s.Take()
 		if got := len(out.Resets) == 1; got != c.refused {
@@ -95,11 +95,11 @@
 // A balancer has just started where every failure domain is evacuated. An opening waits, for
 // there may be others; once it is known that there are none its caller is told, and does not
 // wait until its copies are over.
-func TestWaitingIsRefusedOnceCertain(t *testing.T) {
+func TestQueuedOpeningIsRefusedOnceSettled(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
 	s.SetTable(testNow, oneListener(t))
 	hearTarget(s, testNow)
-	s.TakeEvacuations(testNow, evacuation.New(5, []string{"a"}))
+	s.UpdateEvacuations(testNow, evacuation.New(5, []string{"a"}))
 	opens(s, testNow+10, 1)
 	if out := s.Take(); len(out.Resets) != 0 {
 		t.Fatal("refused before it was certain")
@@ -112,11 +112,11 @@
 }
 
 // The last target that may take a flow is gone for good while the others are evacuated.
-func TestRefusedWhereTheRestIsLost(t *testing.T) {
-	s := evacuating(t, oneListener(t), []string{"a"}, "a", "b")
+func TestRefusedWhenRemainingTargetIsLost(t *testing.T) {
+	s := newEvacuatingSteerer(t, oneListener(t), []string{"a"}, "a", "b")
 	now := testNow
-	for ; now < testNow+2*deadAfter; now += 50 {
-		r := ready(1, uint64(now))
+	for ; now < testNow+2*lostAfter; now += 50 {
+		r := readyReport(1, uint64(now))
 		r.Domain = "a"
 		s.Hear(now, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 		s.Tick(now)
@@ -133,11 +133,11 @@
 func TestHomeRegions(t *testing.T) {
 	table := oneListener(t)
 	table.Listeners[0].Homes = []string{"south"}
-	s := evacuating(t, table, nil, "a", "b", "c")
+	s := newEvacuatingSteerer(t, table, nil, "a", "b", "c")
 	for i := range 50 {
 		opens(s, testNow, i)
 	}
-	if got := openedAt(s.Take(), 3); got[0] != 0 || got[1] != 0 || got[2] != 50 {
+	if got := countOpeningsPerTarget(s.Take(), 3); got[0] != 0 || got[1] != 0 || got[2] != 50 {
 		t.Errorf("openings went %v", got)
 	}
 }
@@ -147,7 +147,7 @@
 func TestSearchStaysInHomeRegions(t *testing.T) {
 	table := oneListener(t)
 	table.Listeners[0].Homes = []string{"south"}
-	s := evacuating(t, table, nil, "a", "c")
+	s := newEvacuatingSteerer(t, table, nil, "a", "c")
 	id := callerFlow(1)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Ack: 9, Size: 100})
 	s.Arrive(testNow, decode(packet), packet)
@@ -179,7 +179,7 @@
 	if n := opened(s); n != 0 {
 		t.Fatal("an opening was sent before it was known where")
 	}
-	s.TakeEvacuations(testNow+60, evacuation.New(5, nil))
+	s.UpdateEvacuations(testNow+60, evacuation.New(5, nil))
 	if n := opened(s); n != 1 {
 		t.Errorf("%d openings were sent once the evacuations were known", n)
 	}
@@ -187,7 +187,7 @@
 
 // Nobody can tell a balancer where nothing may be opened, for the store is away and all
 // have just started: callers are served after a while.
-func TestServesWithoutEvacuationsInTheEnd(t *testing.T) {
+func TestOpensWithoutEvacuationsAfterStartup(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
 	s.SetTable(testNow, oneListener(t))
 	hearTarget(s, testNow+startFor)
@@ -198,28 +198,28 @@
 }
 
 // evacuatedAgent is an agent whose target is ready.
-func evacuatedAgent() *Holder {
+func newReadyTracker() *Tracker {
 	now := testNow
-	h := NewHolder(now, HolderSettings{
-		Domain: "a", Service: "one", Port: worldPort, Flows: 100, FlowLife: worldLife, Heartbeat: 1200, SilentAfter: 3600,
+	tr := NewTracker(now, TrackerSettings{
+		Domain: "a", Service: "one", Port: worldPort, MaxFlows: 100, FlowTTL: worldLife, Heartbeat: 1200, HeartbeatTimeout: 3600,
 	})
-	h.Beat(now, Beat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
-	return h
+	tr.HandleHeartbeat(now, Heartbeat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
+	return tr
 }
 
-func tellEvacuation(h *Holder, now clock.Millis, revision uint64, evacuated bool) {
+func sendEvacuation(tr *Tracker, now clock.Millis, revision uint64, evacuated bool) {
 	probe := &wire.Report{Probe: 1, Orders: revision, Evacuated: evacuated}
-	h.Hear(now, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_PROBE, Report: probe}, nil)
-	h.Take()
+	tr.HandleParcel(now, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_PROBE, Report: probe}, nil)
+	tr.Take()
 }
 
 // offer sends an opening to an agent, and tells what became of it.
-func offer(h *Holder, now clock.Millis, i, warming int) wire.Cause {
+func offerOpening(tr *Tracker, now clock.Millis, i, warming int) wire.Cause {
 	id := callerFlow(i)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
 	p := &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: packet, Warming: uint32(warming)}
-	h.Hear(now, worldAddress(1, 0), p, decode(packet))
-	out := h.Take()
+	tr.HandleParcel(now, worldAddress(1, 0), p, decode(packet))
+	out := tr.Take()
 	if len(out.Deliveries) > 0 {
 		return wire.Cause_CAUSE_NONE
 	}
@@ -228,45 +228,45 @@
 
 // One balancer does not know of the order yet: the agent hands its openings back, so that
 // another target takes them, and keeps the flows that it has.
-func TestAgentHandsBackWhereEvacuated(t *testing.T) {
-	h := evacuatedAgent()
-	if got := offer(h, testNow, 1, 0); got != wire.Cause_CAUSE_NONE {
+func TestAgentReturnsOpeningsWhenEvacuated(t *testing.T) {
+	tr := newReadyTracker()
+	if got := offerOpening(tr, testNow, 1, 0); got != wire.Cause_CAUSE_NONE {
 		t.Fatalf("before the order: %v", got)
 	}
-	tellEvacuation(h, testNow+1, 7, true)
-	if got := offer(h, testNow+2, 2, 0); got != wire.Cause_CAUSE_EVACUATED {
+	sendEvacuation(tr, testNow+1, 7, true)
+	if got := offerOpening(tr, testNow+2, 2, 0); got != wire.Cause_CAUSE_EVACUATED {
 		t.Errorf("after the order: %v", got)
 	}
-	if got := offer(h, testNow+3, 1, 0); got != wire.Cause_CAUSE_NONE {
+	if got := offerOpening(tr, testNow+3, 1, 0); got != wire.Cause_CAUSE_NONE {
 		t.Errorf("a copy of an opening that was taken before the order: %v", got)
 	}
-	tellEvacuation(h, testNow+4, 6, false)
-	if got := offer(h, testNow+5, 2, 0); got != wire.Cause_CAUSE_EVACUATED {
+	sendEvacuation(tr, testNow+4, 6, false)
+	if got := offerOpening(tr, testNow+5, 2, 0); got != wire.Cause_CAUSE_EVACUATED {
 		t.Errorf("after an older word: %v", got)
 	}
-	tellEvacuation(h, testNow+6, 8, false)
-	if got := offer(h, testNow+7, 2, 0); got != wire.Cause_CAUSE_NONE {
+	sendEvacuation(tr, testNow+6, 8, false)
+	if got := offerOpening(tr, testNow+7, 2, 0); got != wire.Cause_CAUSE_NONE {
 		t.Errorf("after the withdrawal: %v", got)
 	}
 }
 
 // An order is withdrawn and the target has become slow meanwhile, which its next heartbeat
 // tells: until then it gets no more than a target that has just started.
-func TestWithdrawnTargetsWarmUp(t *testing.T) {
-	h := evacuatedAgent()
-	tellEvacuation(h, testNow, 7, true)
-	tellEvacuation(h, testNow+1, 8, false)
+func TestTargetsWarmUpAfterEvacuation(t *testing.T) {
+	tr := newReadyTracker()
+	sendEvacuation(tr, testNow, 7, true)
+	sendEvacuation(tr, testNow+1, 8, false)
 	taken := 0
 	for i := range 50 {
-		if offer(h, testNow+2, i, 17) == wire.Cause_CAUSE_NONE {
+		if offerOpening(tr, testNow+2, i, 17) == wire.Cause_CAUSE_NONE {
 			taken++
 		}
 	}
 	if taken != 17 {
 		t.Errorf("a target of a domain that was taken back got %d openings at once, want 17", taken)
 	}
-	h.Beat(testNow+100, Beat{Service: "one", Born: 1, Sequence: 2, Slots: 2})
-	if got := offer(h, testNow+101, 99, 17); got != wire.Cause_CAUSE_NONE {
+	tr.HandleHeartbeat(testNow+100, Heartbeat{Service: "one", Born: 1, Sequence: 2, Slots: 2})
+	if got := offerOpening(tr, testNow+101, 99, 17); got != wire.Cause_CAUSE_NONE {
 		t.Errorf("after a heartbeat that says that it is not slow: %v", got)
 	}
 }
@@ -276,11 +276,11 @@
 // elsewhere before they are handed back.
 func TestColdTargetUnderManyBalancers(t *testing.T) {
 	const rate, balancers = 17, 19
-	h := evacuatedAgent()
-	h.Beat(testNow, Beat{Service: "one", Born: 1, Sequence: 2, Slots: 2, Cold: 2000})
+	tr := newReadyTracker()
+	tr.HandleHeartbeat(testNow, Heartbeat{Service: "one", Born: 1, Sequence: 2, Slots: 2, Cold: 2000})
 	taken, handed := 0, 0
 	for i := range 10 * balancers {
-		switch got := offer(h, testNow+clock.Millis(i/balancers), i, rate); got {
+		switch got := offerOpening(tr, testNow+clock.Millis(i/balancers), i, rate); got {
 		case wire.Cause_CAUSE_NONE:
 			taken++
 		case wire.Cause_CAUSE_WARMING:
@@ -297,9 +297,9 @@
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
-	s := evacuating(t, table, nil, "b")
-	h.Tell(testNow+20, []netip.AddrPort{worldAddress(1, 0)})
-	report := h.Take().Sends[0].Parcel
+	s := newEvacuatingSteerer(t, table, nil, "b")
+	tr.SendReport(testNow+20, []netip.AddrPort{worldAddress(1, 0)})
+	report := tr.Take().Sends[0].Parcel
 	s.Hear(testNow+20, worldAddress(2, 9), report, nil)
 	s.Take()
 	for i := range 30 {
@@ -315,14 +315,14 @@
 // A version brings a bound on cold targets. Balancers that do not have it yet send openings
 // without one: those count as well for the others.
 func TestColdTargetBetweenVersions(t *testing.T) {
-	h := evacuatedAgent()
-	h.Beat(testNow, Beat{Service: "one", Born: 1, Sequence: 2, Slots: 2, Cold: 2000})
+	tr := newReadyTracker()
+	tr.HandleHeartbeat(testNow, Heartbeat{Service: "one", Born: 1, Sequence: 2, Slots: 2, Cold: 2000})
 	for i := range 17 {
-		if got := offer(h, testNow, i, 0); got != wire.Cause_CAUSE_NONE {
+		if got := offerOpening(tr, testNow, i, 0); got != wire.Cause_CAUSE_NONE {
 			t.Fatalf("without a bound: %v", got)
 		}
 	}
-	if got := offer(h, testNow+1, 99, 17); got != wire.Cause_CAUSE_WARMING {
+	if got := offerOpening(tr, testNow+1, 99, 17); got != wire.Cause_CAUSE_WARMING {
 		t.Errorf("an opening over the bound: %v", got)
 	}
 }
@@ -330,16 +330,16 @@
 // A target that has just started reports room, and turns each opening away when it comes, for
 // others were faster. The opening is tried again for as long as openings wait, and then its
 // caller is told.
-func TestTurnedAwayAgainAndAgain(t *testing.T) {
+func TestRepeatedlyReturnedOpeningIsRefused(t *testing.T) {
 	table := oneListener(t)
 	table.Services = []routing.Service{{Name: "one", Warming: 4}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
-	s := evacuating(t, table, nil)
+	s := newEvacuatingSteerer(t, table, nil)
 	refused := clock.Millis(0)
 	for now := testNow; now < testNow+3*waitFor; now += 20 {
-		r := ready(1, uint64(now-testNow)+1)
+		r := readyReport(1, uint64(now-testNow)+1)
 		r.Domain, r.Cold, r.Room = "a", 5000, 4
 		report := &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}
 		s.Hear(now, worldAddress(2, 0), report, nil)
@@ -369,16 +369,16 @@
 
 // All targets have just started, and bear less than callers want: what does not fit waits
 // for the next moment instead of being refused.
-func TestCrowdWaitsForWarmTargets(t *testing.T) {
+func TestOpeningsQueueForColdTargets(t *testing.T) {
 	const rate = 4
 	table := oneListener(t)
 	table.Services = []routing.Service{{Name: "one", Warming: rate}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
-	s := evacuating(t, table, nil)
+	s := newEvacuatingSteerer(t, table, nil)
 	cold := func(at clock.Millis, sequence uint64) {
-		r := ready(1, sequence)
+		r := readyReport(1, sequence)
 		r.Domain, r.Cold, r.Room = "a", 2000, rate+1
 		s.Hear(at, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
@@ -388,12 +388,12 @@
 		opens(s, testNow, i)
 	}
 	out := s.Take()
-	if got := openedAt(out, 1)[0]; got != rate || len(out.Resets) != 0 {
+	if got := countOpeningsPerTarget(out, 1)[0]; got != rate || len(out.Resets) != 0 {
 		t.Errorf("%d were opened and %d refused, want %d and none", got, len(out.Resets), rate)
 	}
 	cold(testNow+200, 2)
 	s.Tick(testNow + 200)
-	if got := openedAt(s.Take(), 1)[0]; got != rate {
+	if got := countOpeningsPerTarget(s.Take(), 1)[0]; got != rate {
 		t.Errorf("%d of those that wait were opened after the next report", got)
 	}
 }
--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -90,7 +90,7 @@
 	case 11:
 		w.spoilTarget(a)
 	case 12:
-		w.power()
+		w.losePower()
 	case 13:
 		w.evacuate(b.domain)
 	}
@@ -123,7 +123,7 @@
 func (w *world) hearOrder(b *worldBalancer, s evacuation.Snapshot) {
 	w.after(clock.Millis(w.random.IntN(worldOrder)), func() {
 		if b.up {
-			b.steerer.TakeEvacuations(w.now, s)
+			b.steerer.UpdateEvacuations(w.now, s)
 			w.flushBalancer(b)
 		}
 	})
@@ -206,7 +206,7 @@
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		a.holder.Tell(w.now, all)
+		a.holder.SendReport(w.now, all)
 		w.flushAgent(a)
 	}
 	a.up = false
@@ -234,7 +234,7 @@
 		}
 		t.alive = false
 		if a.up {
-			a.holder.Leave(w.now)
+			a.holder.RecordLeave(w.now)
 			w.flushAgent(a)
 		}
 		w.after(500, func() { w.startTarget(a) })
--- a/internal/connection/stream/handon_test.go
+++ b/internal/connection/stream/handon_test.go
@@ -21,12 +21,12 @@
 	s, _ = searching(t, 1, 0)
 	relay = NewSteerer(0, Settings{Domain: "b", Address: testRelay, Flows: 100, FlowLife: worldLife})
 	for i := range far {
-		r := ready(1, 1)
+		r := readyReport(1, 1)
 		r.Domain = "b"
 		relay.Hear(testNow, worldAddress(2, 1+i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	for _, part := range relay.Summary(testNow, 1, 1, true) {
-		s.HearSummary(testNow, part)
+		s.HandleSummary(testNow, part)
 	}
 	s.Take()
 	answer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
@@ -54,7 +54,7 @@
 		t.Fatalf("asked %v, want the relay", asked)
 	}
 	asker := worldAddress(1, 0)
-	if !relay.HandOn(testNow+14, asker, asked[testRelay]) {
+	if !relay.RelayQuestions(testNow+14, asker, asked[testRelay]) {
 		t.Fatal("the relay does not hand the question on")
 	}
 	handed := asks(relay)
@@ -62,13 +62,13 @@
 		t.Fatalf("handed on to %d agents, want %d", len(handed), far)
 	}
 	for at, p := range handed {
-		h := NewHolder(0, HolderSettings{Service: "one", Port: worldPort, Flows: 10, FlowLife: worldLife})
-		h.Hear(testNow+15, testRelay, p, nil)
+		h := NewTracker(0, TrackerSettings{Service: "one", Port: worldPort, MaxFlows: 10, FlowTTL: worldLife})
+		h.HandleParcel(testNow+15, testRelay, p, nil)
 		out := h.Take().Sends
 		if len(out) != 1 || out[0].To != asker {
 			t.Fatalf("the agent answers %v", out)
 		}
-		if relay.HandOn(testNow+15, asker, p) {
+		if relay.RelayQuestions(testNow+15, asker, p) {
 			t.Error("a question that was handed on is handed on again")
 		}
 		out[0].Parcel.Holdings[0] = byte(wire.Holding_HOLDING_NOT)
@@ -89,7 +89,7 @@
 	question := asks(s)[testRelay]
 	handed := 0
 	for range 100 {
-		if relay.HandOn(testNow+14, worldAddress(1, 0), question) {
+		if relay.RelayQuestions(testNow+14, worldAddress(1, 0), question) {
 			handed++
 		}
 	}
--- a/internal/connection/stream/young_test.go
+++ b/internal/connection/stream/heartbeat_test.go
@@ -25,10 +25,10 @@
 		{"many were tried", 9, 600, wire.Holding_HOLDING_UNSURE},
 		{"the clock was set back", 3, -5, wire.Holding_HOLDING_UNSURE},
 	} {
-		h := alone()
+		tr := alone()
 		now := testNow + c.age
-		h.Beat(now, Beat{Service: "one", Born: 900, Sequence: c.sequence, Age: c.age, Slots: 4})
-		if got := h.holding(now, flow, 7); got != c.want {
+		tr.HandleHeartbeat(now, Heartbeat{Service: "one", Born: 900, Sequence: c.sequence, Age: c.age, Slots: 4})
+		if got := tr.holding(now, flow, 7); got != c.want {
 			t.Errorf("%s: says %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -37,15 +37,15 @@
 // A target starts anew, and its heartbeats are held up for long. Flows that were opened
 // meanwhile are its own, however old they are by then; those of before are gone, however
 // young.
-func TestTargetStartedAnew(t *testing.T) {
-	h := alone()
-	h.Beat(testNow, Beat{Service: "one", Born: 500, Sequence: 1, Age: 10, Slots: 4})
-	serve(h, testNow+100, 1)
-	h.Beat(testNow+1200, Beat{Service: "one", Born: 500, Sequence: 2, Age: 1210, Slots: 4})
-	serve(h, testNow+1500, 2)
-	h.Take()
-	h.Beat(testNow+9000, Beat{Service: "one", Born: 2500, Sequence: 3, Age: 7800, Slots: 4})
-	resets := h.Take().Resets
+func TestTargetRestart(t *testing.T) {
+	tr := alone()
+	tr.HandleHeartbeat(testNow, Heartbeat{Service: "one", Born: 500, Sequence: 1, Age: 10, Slots: 4})
+	openFlow(tr, testNow+100, 1)
+	tr.HandleHeartbeat(testNow+1200, Heartbeat{Service: "one", Born: 500, Sequence: 2, Age: 1210, Slots: 4})
+	openFlow(tr, testNow+1500, 2)
+	tr.Take()
+	tr.HandleHeartbeat(testNow+9000, Heartbeat{Service: "one", Born: 2500, Sequence: 3, Age: 7800, Slots: 4})
+	resets := tr.Take().Resets
 	if len(resets) != 1 || resets[0].Flow != callerFlow(1) {
 		t.Errorf("resets %v, want the flow that was opened before the last heartbeat", resets)
 	}
--- a/internal/connection/stream/load.go
+++ b/internal/connection/stream/load.go
@@ -7,72 +7,72 @@
 const (
 	// activeFor is the silence after which an open flow no longer counts as
 	// load. Callers pause between requests for about a second.
-	activeFor = 5 * clock.Second
+	flowIdleAfter = 5 * clock.Second
 	// busyFor bounds how long a request counts as under way.
-	busyFor = 5 * clock.Second
+	maxRequestTime = 5 * clock.Second
 	// sweepEvery is how often flows that are over are looked for.
-	sweepEvery = clock.Second
+	sweepInterval = clock.Second
 	// endedFor is how long a flow that has ended is remembered: its last
 	// packets may be sent again, with doubling pauses of up to 1.6 s.
-	endedFor = 10 * clock.Second
+	endedFlowRetention = 10 * clock.Second
 	// loadOver is over how long the requests under way are averaged: some ten
 	// requests of a slot.
-	loadOver = clock.Second
+	loadWindow = clock.Second
 )
 
 // Tick ends what is over and measures the load.
-func (h *Holder) Tick(now clock.Millis) {
-	h.sample(now)
-	h.judgePast(now)
-	h.resetLost(now)
-	h.keep(now)
-	if h.upstream.outlier.due(now) {
-		h.noteCondition(now, "on trial")
+func (tr *Tracker) Tick(now clock.Millis) {
+	tr.sampleLoad(now)
+	tr.judgePrevious(now)
+	tr.resetLostFlows(now)
+	tr.sendCheckpoint(now)
+	if tr.upstream.outlier.startTrial(now) {
+		tr.recordCondition(now, "on trial")
 	}
-	if now.Sub(h.swept) < sweepEvery {
+	if now.Sub(tr.lastSweep) < sweepInterval {
 		return
 	}
-	h.swept = now
-	h.active = 0
-	for _, id := range h.flows.Keys() {
-		f, ok := h.flows.Peek(id)
+	tr.lastSweep = now
+	tr.activeFlows = 0
+	for _, id := range tr.flows.Keys() {
+		f, ok := tr.flows.Peek(id)
 		if !ok {
 			continue
 		}
 		switch {
-		case h.over(now, f):
-			h.flows.Remove(id)
-		case f.ended == 0 && now.Sub(f.last()) <= activeFor:
-			h.active++
+		case tr.expired(now, f):
+			tr.flows.Remove(id)
+		case f.endedAt == 0 && now.Sub(f.lastPacket()) <= flowIdleAfter:
+			tr.activeFlows++
 		}
 	}
 }
 
 // Loaded reports that the target's slots are in use: what balancers know of its load
 // matters for each new flow.
-func (h *Holder) Loaded() bool {
-	return h.load > overload*float64(max(h.upstream.slots, 1))
+func (tr *Tracker) Loaded() bool {
+	return tr.load > overloadThreshold*float64(max(tr.upstream.slots, 1))
 }
 
 // sample adds the requests under way to their mean, weighted by the time since
 // the last sample.
-func (h *Holder) sample(now clock.Millis) {
+func (tr *Tracker) sampleLoad(now clock.Millis) {
 	busy := 0
-	for id, f := range h.working {
-		if now.Sub(f.busy) > busyFor {
-			delete(h.working, id)
+	for id, f := range tr.busyFlows {
+		if now.Sub(f.busySince) > maxRequestTime {
+			delete(tr.busyFlows, id)
 			continue
 		}
 		busy++
 	}
-	weight := min(float64(now.Sub(h.sampled))/float64(loadOver), 1)
-	h.load += (float64(busy) - h.load) * weight
-	h.sampled = now
+	weight := min(float64(now.Sub(tr.lastSample))/float64(loadWindow), 1)
+	tr.load += (float64(busy) - tr.load) * weight
+	tr.lastSample = now
 }
 
-func (h *Holder) over(now clock.Millis, f *held) bool {
-	if f.ended != 0 && now.Sub(f.last()) > endedFor {
+func (tr *Tracker) expired(now clock.Millis, f *trackedFlow) bool {
+	if f.endedAt != 0 && now.Sub(f.lastPacket()) > endedFlowRetention {
 		return true
 	}
-	return now.Sub(f.opened) > h.settings.FlowLife && now.Sub(f.last()) > h.settings.FlowLife
+	return now.Sub(f.openedAt) > tr.settings.FlowTTL && now.Sub(f.lastPacket()) > tr.settings.FlowTTL
 }
--- a/internal/connection/stream/opening.go
+++ b/internal/connection/stream/opening.go
@@ -21,7 +21,7 @@
 	if s.table == nil && s.wait(now, id, packet, "no configuration yet") {
 		return
 	}
-	if s.blind() && s.wait(now, id, packet, "evacuations not known yet") {
+	if s.evacuationsUnknown() && s.wait(now, id, packet, "evacuations not known yet") {
 		return
 	}
 	service, err := s.pick(id)
@@ -86,8 +86,8 @@
 	return s.table.Warming(service)
 }
 
-func (s *Steerer) demand(f *flow) Demand {
-	return Demand{Service: f.service, Homes: f.homes, Warming: s.warming(f.service), Tried: f.tried}
+func (s *Steerer) demand(f *flow) PlacementRequest {
+	return PlacementRequest{Service: f.service, HomeRegions: f.homes, WarmingRate: s.warming(f.service), Tried: f.tried}
 }
 
 // place sends an opening to the target that costs least of those not tried.
@@ -105,7 +105,7 @@
 	f.pending++
 	f.owner = offeredTo(t.Address)
 	s.out.note(Event{
-		Kind: kind, Flow: id, Target: t.Address, Name: t.Name, Service: f.service, Age: now.Sub(t.Heard),
+		Kind: kind, Flow: id, Target: t.Address, Name: t.Name, Service: f.service, Age: now.Sub(t.HeardAt),
 		Count: len(f.tried), Version: s.version(),
 	})
 	s.out.send(t.Address, s.opening(f.service, packet))
@@ -122,11 +122,11 @@
 		return
 	}
 	demand := s.demand(f)
-	if s.Targets.warming(now, &demand) && s.hold(now, waiting{id: id, at: f.since, packet: packet, tried: len(f.tried)}, "targets have just started") {
+	if s.Targets.anyWarming(now, &demand) && s.hold(now, waiting{id: id, at: f.since, packet: packet, tried: len(f.tried)}, "targets have just started") {
 		s.flows.Remove(id)
 		return
 	}
-	reason := s.Targets.barred(now, &demand)
+	reason := s.Targets.blockedReason(now, &demand)
 	refused := len(f.tried) > 0 || reason != "" && s.certain(now)
 	if !refused && s.wait(now, id, packet, cmp.Or(reason, "no target is ready")) {
 		s.flows.Remove(id)
@@ -168,7 +168,7 @@
 		}
 		s.out.note(Event{
 			Kind: Reopened, Flow: id, Target: a, Name: t.Name, Service: f.service, Reason: "no other target",
-			Age: now.Sub(t.Heard), Count: len(f.tried), Version: s.version(),
+			Age: now.Sub(t.HeardAt), Count: len(f.tried), Version: s.version(),
 		})
 		s.out.send(a, s.opening(f.service, packet))
 	}
--- a/internal/connection/stream/parcels_test.go
+++ b/internal/connection/stream/parcels_test.go
@@ -11,30 +11,30 @@
 
 // surpriseSeeds are the runs of each test and surpriseSteps what happens in each.
 const (
-	surpriseSeeds = 8
-	surpriseSteps = 1000
+	randomParcelSeeds = 8
+	randomParcelSteps = 1000
 )
 
 // surprise makes parcels of every verb whose parts fit each other or do not: flows,
 // targets and processes that are known and unknown, lists that are empty, cut or too long.
-type surprise struct{ *rand.Rand }
+type randomParcels struct{ *rand.Rand }
 
-func (r surprise) flow() segment.Flow {
+func (r randomParcels) flow() segment.Flow {
 	return segment.Flow{Caller: worldAddress(100, r.IntN(200)), Listener: worldListener}
 }
 
-func (r surprise) bytes(b []byte) []byte {
+func (r randomParcels) bytes(b []byte) []byte {
 	if r.IntN(8) == 0 {
 		return b[:r.IntN(len(b)+1)]
 	}
 	return b
 }
 
-func (r surprise) address() []byte {
+func (r randomParcels) address() []byte {
 	return r.bytes(segment.AppendAddress(nil, worldAddress(2, r.IntN(60))))
 }
 
-func (r surprise) report() *wire.Report {
+func (r randomParcels) report() *wire.Report {
 	if r.IntN(10) == 0 {
 		return nil
 	}
@@ -46,11 +46,11 @@
 	}
 }
 
-func (r surprise) text(all ...string) string {
+func (r randomParcels) text(all ...string) string {
 	return all[r.IntN(len(all))]
 }
 
-func (r surprise) segment() *segment.Segment {
+func (r randomParcels) segment() *segment.Segment {
 	flags := []segment.Flags{segment.Opens, segment.Acks, segment.Ends | segment.Acks, segment.Resets}
 	id := r.flow()
 	return &segment.Segment{
@@ -59,7 +59,7 @@
 	}
 }
 
-func (r surprise) parcel() (*wire.Parcel, *segment.Segment) {
+func (r randomParcels) parcel() (*wire.Parcel, *segment.Segment) {
 	p := &wire.Parcel{
 		Verb: wire.Verb(r.IntN(int(wire.Verb_VERB_SUMMARY) + 2)), Number: uint32(r.IntN(200)),
 		Holding: wire.Holding(r.IntN(5)), Service: r.text("one", "two", ""), Cause: wire.Cause(r.IntN(6)),
@@ -78,7 +78,7 @@
 	return p, seg
 }
 
-func (r surprise) owners() []*wire.Owner {
+func (r randomParcels) owners() []*wire.Owner {
 	var all []*wire.Owner
 	for range r.IntN(5) {
 		all = append(all, &wire.Owner{
@@ -88,7 +88,7 @@
 	return all
 }
 
-func (r surprise) summary() *wire.Summary {
+func (r randomParcels) summary() *wire.Summary {
 	m := &wire.Summary{
 		Domain: r.text("a", "b", ""), Epoch: uint64(r.IntN(3)), Number: uint32(r.IntN(3)),
 		Part: uint32(r.IntN(4)), Parts: uint32(r.IntN(4)), Complete: r.IntN(2) == 0,
@@ -103,9 +103,9 @@
 
 // A surprising or malformed parcel of any verb must end no process, whatever a balancer
 // has under way: searches up to their bound, openings that wait, targets that come and go.
-func TestSurprisesAtSteerer(t *testing.T) {
-	for seed := range uint64(surpriseSeeds) {
-		r := surprise{rand.New(rand.NewPCG(seed, 7))}
+func TestRandomParcelsAtSteerer(t *testing.T) {
+	for seed := range uint64(randomParcelSeeds) {
+		r := randomParcels{rand.New(rand.NewPCG(seed, 7))}
 		s, _ := searching(t, 20, 20)
 		s.settings.Domain = "a"
 		s.flows.Resize(100 + r.IntN(200))
@@ -118,7 +118,7 @@
 			fillSearches(s, testNow)
 		}
 		now := testNow
-		for range surpriseSteps {
+		for range randomParcelSteps {
 			now += clock.Millis(r.IntN(30))
 			p, seg := r.parcel()
 			switch r.IntN(10) {
@@ -132,7 +132,7 @@
 				s.Inherit(now, r.owners())
 				s.Owners(now)
 			case 3:
-				s.HearSummary(now, r.summary())
+				s.HandleSummary(now, r.summary())
 			default:
 				s.Hear(now, worldAddress(2, r.IntN(60)), p, seg)
 			}
@@ -141,7 +141,7 @@
 					t.Fatalf("seed %d: a parcel of verb %s for nobody", seed, send.Parcel.Verb)
 				}
 			}
-			if len(s.searches) > s.room()+1 || len(s.waiting) > mostWaiting || len(s.news) > mostNews {
+			if len(s.searches) > s.room()+1 || len(s.waiting) > mostWaiting || len(s.news) > maxChanges {
 				t.Fatalf("seed %d: %d searches, %d openings that wait, %d news", seed, len(s.searches), len(s.waiting), len(s.news))
 			}
 		}
@@ -149,22 +149,22 @@
 }
 
 // The same at an agent: its target comes, goes and restarts meanwhile.
-func TestSurprisesAtHolder(t *testing.T) {
-	for seed := range uint64(surpriseSeeds) {
-		r := surprise{rand.New(rand.NewPCG(seed, 8))}
-		h := NewHolder(testNow, HolderSettings{
-			Name: "t", Domain: "a", Service: "one", Epoch: 1, Port: worldPort, Flows: 50, FlowLife: worldLife,
-			Heartbeat: worldBeat, SilentAfter: 3 * worldBeat, Checkpoint: seed%2 == 0,
+func TestRandomParcelsAtTracker(t *testing.T) {
+	for seed := range uint64(randomParcelSeeds) {
+		r := randomParcels{rand.New(rand.NewPCG(seed, 8))}
+		tr := NewTracker(testNow, TrackerSettings{
+			Name: "t", Domain: "a", Service: "one", Epoch: 1, Port: worldPort, MaxFlows: 50, FlowTTL: worldLife,
+			Heartbeat: worldBeat, HeartbeatTimeout: 3 * worldBeat, Checkpoint: seed%2 == 0,
 		})
 		now := testNow
-		for range surpriseSteps {
+		for range randomParcelSteps {
 			now += clock.Millis(r.IntN(30))
 			p, seg := r.parcel()
 			switch r.IntN(8) {
 			case 0:
-				h.Beat(now, Beat{Service: "one", Born: uint64(r.IntN(3)), Sequence: uint64(r.IntN(50)), Slots: r.IntN(3)})
+				tr.HandleHeartbeat(now, Heartbeat{Service: "one", Born: uint64(r.IntN(3)), Sequence: uint64(r.IntN(50)), Slots: r.IntN(3)})
 			case 1:
-				h.Tick(now)
+				tr.Tick(now)
 			case 2, 3:
 				out := r.segment()
 				out.Source, out.Destination = out.Destination, out.Source
@@ -172,23 +172,23 @@
 					out = r.segment()
 					out.Flags |= segment.Returned
 				}
-				h.FromTarget(now, out, encode(*out))
+				tr.HandleTargetPacket(now, out, encode(*out))
 			case 4:
-				h.Restore(now, int64(now), nil)
+				tr.Restore(now, int64(now), nil)
 			case 5:
 				if r.IntN(20) == 0 {
-					h.Leave(now)
+					tr.RecordLeave(now)
 				}
 			default:
-				h.Hear(now, worldAddress(1, r.IntN(5)), p, seg)
+				tr.HandleParcel(now, worldAddress(1, r.IntN(5)), p, seg)
 			}
-			for _, send := range h.Take().Sends {
+			for _, send := range tr.Take().Sends {
 				if !send.To.IsValid() {
 					t.Fatalf("seed %d: a parcel of verb %s for nobody", seed, send.Parcel.Verb)
 				}
 			}
-			if h.flows.Len() > 50 || h.denied.Len() > 50 || len(h.working) > 50 {
-				t.Fatalf("seed %d: %d flows, %d denied, %d under way", seed, h.flows.Len(), h.denied.Len(), len(h.working))
+			if tr.flows.Len() > 50 || tr.denied.Len() > 50 || len(tr.busyFlows) > 50 {
+				t.Fatalf("seed %d: %d flows, %d denied, %d under way", seed, tr.flows.Len(), tr.denied.Len(), len(tr.busyFlows))
 			}
 		}
 	}
--- a/internal/connection/stream/demand.go
+++ b/internal/connection/stream/placement.go
@@ -10,25 +10,25 @@
 )
 
 // Demand is a new flow that wants a target.
-type Demand struct {
+type PlacementRequest struct {
 	Service string
 	// Homes are the regions in which it may be served; any if there are none.
-	Homes []string
+	HomeRegions []string
 	// Warming is how many openings a second a target of the service bears while it is slow
 	// after its start; zero for no bound.
-	Warming int
+	WarmingRate int
 	// Tried are the agents that were sent the opening already.
 	Tried []netip.AddrPort
 }
 
 // TakeEvacuations takes what a reader or another balancer knows of the evacuations, and
 // reports whether they are others than before, or known for the first time.
-func (s *Steerer) TakeEvacuations(now clock.Millis, later evacuation.Snapshot) bool {
+func (s *Steerer) UpdateEvacuations(now clock.Millis, later evacuation.Snapshot) bool {
 	known := &s.Targets.evacuated
 	first := !known.Known() && later.Known()
 	d := known.Take(later)
-	s.noteEvacuations(d.Ordered, "evacuated")
-	s.noteEvacuations(d.Withdrawn, "no longer evacuated")
+	s.recordEvacuations(d.Ordered, "evacuated")
+	s.recordEvacuations(d.Withdrawn, "no longer evacuated")
 	changed := first || d.Any()
 	if changed {
 		s.retry(now)
@@ -36,7 +36,7 @@
 	return changed
 }
 
-func (s *Steerer) noteEvacuations(domains []string, reason string) {
+func (s *Steerer) recordEvacuations(domains []string, reason string) {
 	for _, d := range domains {
 		s.out.note(Event{Kind: Evacuation, Name: d, Reason: reason, Version: s.Targets.evacuated.Revision})
 	}
@@ -48,30 +48,30 @@
 }
 
 // blind reports that it is not known yet where nothing is to be opened.
-func (s *Steerer) blind() bool {
+func (s *Steerer) evacuationsUnknown() bool {
 	return s.settings.Evacuates && !s.Targets.evacuated.Known()
 }
 
 // allowed reports whether flows may be opened in a failure domain.
-func (ts *Targets) allowed(domain string, d *Demand) bool {
-	return !ts.evacuated.Has(domain) && ts.home(domain, d.Homes)
+func (ts *Targets) allowed(domain string, d *PlacementRequest) bool {
+	return !ts.evacuated.Has(domain) && ts.inHomeRegion(domain, d.HomeRegions)
 }
 
 // home reports whether a failure domain lies in one of the regions, where any are given.
-func (ts *Targets) home(domain string, homes []string) bool {
+func (ts *Targets) inHomeRegion(domain string, homes []string) bool {
 	return len(homes) == 0 || slices.Contains(homes, ts.regions[domain])
 }
 
 // usable reports whether the target may be chosen for the flow. failing tells to take one
 // that fails requests as well.
-func (ts *Targets) usable(now clock.Millis, t *Target, d *Demand, failing bool) bool {
-	opens := t.Opens(now) || failing && t.failing(now)
-	return opens && ts.allowed(t.Domain, d) && t.bears(now, d.Warming) && !slices.Contains(d.Tried, t.Address)
+func (ts *Targets) usable(now clock.Millis, t *Target, d *PlacementRequest, failing bool) bool {
+	opens := t.AcceptsFlows(now) || failing && t.failing(now)
+	return opens && ts.allowed(t.Domain, d) && t.hasRoom(now, d.WarmingRate) && !slices.Contains(d.Tried, t.Address)
 }
 
 // bears reports whether a target that is slow after its start takes another opening, as
 // far as is known here.
-func (t *Target) bears(now clock.Millis, rate int) bool {
+func (t *Target) hasRoom(now clock.Millis, rate int) bool {
 	if rate == 0 || now >= t.ColdUntil {
 		return true
 	}
@@ -84,12 +84,12 @@
 
 // barred says why no target of the service can take the flow, however long its caller
 // waits, or nothing if one may.
-func (ts *Targets) barred(now clock.Millis, d *Demand) string {
+func (ts *Targets) blockedReason(now clock.Millis, d *PlacementRequest) string {
 	reason := ""
-	for _, t := range ts.want(now, d.Service) {
+	for _, t := range ts.useService(now, d.Service) {
 		staying := t.Condition != wire.Condition_CONDITION_DRAINING && !t.Lost(now)
 		switch {
-		case !ts.home(t.Domain, d.Homes):
+		case !ts.inHomeRegion(t.Domain, d.HomeRegions):
 			if reason == "" {
 				reason = "no target in its home regions"
 			}
@@ -103,10 +103,10 @@
 }
 
 // warming reports that a target would take the flow if it had not just started.
-func (ts *Targets) warming(now clock.Millis, d *Demand) bool {
-	for _, t := range ts.want(now, d.Service) {
-		if t.Opens(now) && ts.allowed(t.Domain, d) && now < t.ColdUntil {
-			return d.Warming > 0
+func (ts *Targets) anyWarming(now clock.Millis, d *PlacementRequest) bool {
+	for _, t := range ts.useService(now, d.Service) {
+		if t.AcceptsFlows(now) && ts.allowed(t.Domain, d) && now < t.ColdUntil {
+			return d.WarmingRate > 0
 		}
 	}
 	return false
--- a/internal/connection/stream/handon.go
+++ b/internal/connection/stream/relay.go
@@ -11,7 +11,7 @@
 // Relay returns the balancer that has told of the targets of another failure domain lately.
 func (ts *Targets) Relay(now clock.Millis, domain string) (netip.AddrPort, bool) {
 	s := ts.summaries[domain]
-	if s == nil || s.told == 0 || now.Sub(s.told) > coverFor {
+	if s == nil || s.relayHeardAt == 0 || now.Sub(s.relayHeardAt) > summaryTTL {
 		return netip.AddrPort{}, false
 	}
 	return s.relay, true
@@ -22,12 +22,12 @@
 // asks those itself that have not answered.
 //
 // Asked one by one, each lost flow would cross failure domains once for each target there.
-func (s *Steerer) HandOn(now clock.Millis, asker netip.AddrPort, p *wire.Parcel) bool {
+func (s *Steerer) RelayQuestions(now clock.Millis, asker netip.AddrPort, p *wire.Parcel) bool {
 	if len(p.Asker) > 0 || !s.handing.fill(now) {
 		return false
 	}
 	for _, t := range s.Targets.Sorted() {
-		if t.Domain != s.settings.Domain || t.Heard == 0 || t.Lost(now) {
+		if t.Domain != s.settings.Domain || t.HeardAt == 0 || t.Lost(now) {
 			continue
 		}
 		s.handing.left--
--- a/internal/connection/stream/search_test.go
+++ b/internal/connection/stream/search_test.go
@@ -217,7 +217,7 @@
 	s.SetSettled(true)
 	lost := worldAddress(2, 1)
 	now := testNow
-	for ; now < testNow+deadAfter+clock.Second; now += 50 {
+	for ; now < testNow+lostAfter+clock.Second; now += 50 {
 		s.Tick(now)
 		s.Hear(now, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: &wire.Report{
 			Name: "t0", Domain: "a", Service: "one", Epoch: 1, Sequence: uint64(now), Born: 1,
--- a/internal/connection/stream/steer.go
+++ b/internal/connection/stream/steer.go
@@ -210,7 +210,7 @@
 		return
 	}
 	if t.Lost(now) && s.trusted(now) {
-		s.end(id, f, "its target is lost", now.Sub(t.Heard))
+		s.end(id, f, "its target is lost", now.Sub(t.HeardAt))
 		return
 	}
 	s.out.send(agent, &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: f.service, Packet: packet})
@@ -255,24 +255,24 @@
 
 // report takes a report and tells whether its target is new.
 func (s *Steerer) report(now clock.Millis, from netip.AddrPort, r *wire.Report) bool {
-	c := s.Targets.Report(now, from, r)
+	c := s.Targets.ApplyReport(now, from, r)
 	s.changed(now, from, r, c)
 	return c.New
 }
 
 // changed notes what a report has changed.
-func (s *Steerer) changed(now clock.Millis, from netip.AddrPort, r *wire.Report, c Change) {
+func (s *Steerer) changed(now clock.Millis, from netip.AddrPort, r *wire.Report, c TargetChange) {
 	switch {
 	case c.Left:
 		s.out.note(Event{Kind: TargetGone, Target: from, Name: r.Name, Service: r.Service})
-	case c.New || c.Condition || c.Reborn:
+	case c.New || c.Condition || c.Restarted:
 		s.out.note(Event{Kind: TargetNew, Target: from, Name: r.Name, Service: r.Service, Reason: r.Condition.String()})
 	}
 	if c.New || c.Condition {
 		s.retry(now)
 	}
-	if r.Domain == s.settings.Domain && c.told() {
-		s.spread(entry(from, r, 0, 0))
+	if r.Domain == s.settings.Domain && c.urgent() {
+		s.queueChange(summaryEntry(from, r, 0, 0))
 	}
 }
 
@@ -351,9 +351,9 @@
 // Tick does what is due: probes, later stages of searches, and the end of what
 // was forgotten.
 func (s *Steerer) Tick(now clock.Millis) {
-	for _, t := range s.Targets.Due(now) {
+	for _, t := range s.Targets.DueProbes(now) {
 		r := &wire.Report{
-			Probe: t.probe, Epoch: t.former.epoch, Born: t.former.born, Domain: s.settings.Domain,
+			Probe: t.probeNumber, Epoch: t.previous.epoch, Born: t.previous.born, Domain: s.settings.Domain,
 			Keeper: s.keeper && t.Domain == s.settings.Domain,
 			Orders: s.Targets.evacuated.Revision, Evacuated: s.Targets.evacuated.Has(t.Domain),
 		}
@@ -372,26 +372,26 @@
 		s.lapse()
 	}
 	s.questions.flush(now, len(s.searches), &s.out)
-	for _, t := range s.Targets.Forget(now) {
-		s.out.note(Event{Kind: TargetGone, Target: t.Address, Name: t.Name, Service: t.Service, Reason: "silent", Age: now.Sub(t.Heard)})
+	for _, t := range s.Targets.RemoveSilent(now) {
+		s.out.note(Event{Kind: TargetGone, Target: t.Address, Name: t.Name, Service: t.Service, Reason: "silent", Age: now.Sub(t.HeardAt)})
 	}
 }
 
 // watch notes what has become suspected, or is no longer.
 func (s *Steerer) watch(now clock.Millis) {
 	s.Targets.Each(func(t *Target) {
-		suspected := t.Suspected(now) && t.Heard != 0
-		if suspected == t.noted {
+		suspected := t.Suspected(now) && t.HeardAt != 0
+		if suspected == t.suspicionLogged {
 			return
 		}
 		kind := TargetBack
 		if suspected {
 			kind = TargetLost
 		}
-		t.noted = suspected
+		t.suspicionLogged = suspected
 		if t.Domain == s.settings.Domain {
-			s.spread(entry(t.Address, t.report(now), now.Sub(t.Heard), t.silence(now)))
+			s.queueChange(summaryEntry(t.Address, t.report(now), now.Sub(t.HeardAt), t.silence(now)))
 		}
-		s.out.note(Event{Kind: kind, Target: t.Address, Name: t.Name, Service: t.Service, Age: now.Sub(t.Heard)})
+		s.out.note(Event{Kind: kind, Target: t.Address, Name: t.Name, Service: t.Service, Age: now.Sub(t.HeardAt)})
 	})
 }
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -11,14 +11,14 @@
 
 // worldObject is the sheet of a failure domain in the platform's store: the present
 // one, and the one before, which a stale read may still return.
-type worldObject struct {
+type simObject struct {
 	revision int
 	data     []byte
 	before   []byte
 }
 
 // write replaces the sheet if it is still the one that the writer saw.
-func (o *worldObject) write(seen int, data []byte) bool {
+func (o *simObject) write(seen int, data []byte) bool {
 	if o.revision != seen {
 		return false
 	}
@@ -27,16 +27,16 @@
 	return true
 }
 
-func (w *world) object(domain string) *worldObject {
+func (w *world) storedObject(domain string) *simObject {
 	o := w.objects[domain]
 	if o == nil {
-		o = &worldObject{}
+		o = &simObject{}
 		w.objects[domain] = o
 	}
 	return o
 }
 
-func (w *world) sheet(data []byte) *checkpoint.Sheet {
+func (w *world) decodeSheet(data []byte) *checkpoint.Sheet {
 	if data == nil {
 		return &checkpoint.Sheet{Shards: 1}
 	}
@@ -48,25 +48,25 @@
 }
 
 // restores lets an agent read what is kept, now and then late or from an old copy.
-func (w *world) restores(a *worldAgent) {
-	h := a.holder
+func (w *world) restoreCheckpoint(a *worldAgent) {
+	tr := a.holder
 	delay := clock.Millis(2 + w.random.IntN(60))
 	if w.random.IntN(5) == 0 {
 		delay = clock.Millis(w.random.IntN(4000))
 	}
 	w.after(delay, func() {
-		if a.holder != h || !a.up {
+		if a.holder != tr || !a.up {
 			return
 		}
-		o := w.object(a.domain)
+		o := w.storedObject(a.domain)
 		data := o.data
 		if w.random.IntN(5) == 0 {
 			data = o.before
 		}
-		if e, ok := w.sheet(data).Find(a.address); ok {
-			h.Restore(w.now, int64(w.now), &e)
+		if e, ok := w.decodeSheet(data).Find(a.address); ok {
+			tr.Restore(w.now, int64(w.now), &e)
 		} else {
-			h.Restore(w.now, int64(w.now), nil)
+			tr.Restore(w.now, int64(w.now), nil)
 		}
 		w.flushAgent(a)
 	})
@@ -74,7 +74,7 @@
 
 // keeps lets a balancer keep the checkpoints of its failure domain while it is the
 // first one there. Two may think so for a moment.
-func (w *world) keeps(b *worldBalancer) {
+func (w *world) runKeeper(b *worldBalancer) {
 	s := b.steerer
 	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: 1 << 20, Life: worldLife, Writes: 10})
 	b.keeper = k
@@ -84,14 +84,14 @@
 		if b.steerer != s {
 			return
 		}
-		switch first := w.first(b.domain) == b || w.random.IntN(20) == 0; {
+		switch first := w.firstBalancer(b.domain) == b || w.random.IntN(20) == 0; {
 		case b.up && first && !loaded:
-			o := w.object(b.domain)
+			o := w.storedObject(b.domain)
 			seen = o.revision
-			k.Load(w.now, int64(w.now), w.sheet(o.data))
+			k.Load(w.now, int64(w.now), w.decodeSheet(o.data))
 			loaded = true
 		case b.up && first:
-			seen = w.writes(b, k, seen)
+			seen = w.writeDueSheets(b, k, seen)
 		case b.up && loaded:
 			k.Clear()
 			loaded = false
@@ -102,7 +102,7 @@
 	w.after(clock.Millis(1+w.random.IntN(100)), tick)
 }
 
-func (w *world) first(domain string) *worldBalancer {
+func (w *world) firstBalancer(domain string) *worldBalancer {
 	for _, b := range w.balancers {
 		if b.up && b.domain == domain {
 			return b
@@ -113,8 +113,8 @@
 
 // writes writes what is due and returns the revision that the balancer knows then. A
 // write may be carried out seconds later, and its answer may be lost.
-func (w *world) writes(b *worldBalancer, k *checkpoint.Keeper, seen int) int {
-	o := w.object(b.domain)
+func (w *world) writeDueSheets(b *worldBalancer, k *checkpoint.Keeper, seen int) int {
+	o := w.storedObject(b.domain)
 	for _, sheet := range k.Due(w.now) {
 		data, err := json.Marshal(sheet)
 		if err != nil {
@@ -130,7 +130,7 @@
 			w.acknowledge(b, k.Wrote(sheet.Shard))
 		default:
 			seen = o.revision
-			k.Load(w.now, int64(w.now), w.sheet(o.data))
+			k.Load(w.now, int64(w.now), w.decodeSheet(o.data))
 			k.Failed(sheet.Shard)
 		}
 		k.Rest(w.now, w.random.Float64())
@@ -147,7 +147,7 @@
 }
 
 // hearKeep gives a balancer a part of an agent's checkpoint.
-func (w *world) hearKeep(b *worldBalancer, from netip.AddrPort, c *wire.Checkpoint) {
+func (w *world) handleCheckpoint(b *worldBalancer, from netip.AddrPort, c *wire.Checkpoint) {
 	if !b.steerer.Keeper() {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // power takes all VMs away at once; callers stay.
-func (w *world) power() {
+func (w *world) losePower() {
 	for _, b := range w.balancers {
 		w.killBalancer(b)
 	}
--- a/internal/connection/stream/summary.go
+++ b/internal/connection/stream/summary.go
@@ -10,49 +10,49 @@
 
 const (
 	// coverFor is how long a summary stands in for probes: four of one relay.
-	coverFor = 2 * clock.Second
+	summaryTTL = 2 * clock.Second
 	// coverSoon is how long a target elsewhere that was only named waits for a summary
 	// until it is probed: a few round trips between failure domains.
-	coverSoon = 300 * clock.Millis(1)
+	firstSummaryWait = 300 * clock.Millis(1)
 	// departedFor is how long summaries name a target that has left: several of them
 	// may be lost.
-	departedFor = 2 * clock.Second
+	departureRetention = 2 * clock.Second
 	// lateFor is how late a summary may be that still tells of a target as it was before it
 	// left. What says later that it is there tells of another one, also where the clock of
 	// its VM was set back meanwhile.
-	lateFor = 3 * clock.Second
+	maxSummaryDelay = 3 * clock.Second
 	// namedEvery is which summary of all targets has their names: only logs want them.
-	namedEvery = 4
+	nameInterval = 4
 	// summarySize keeps a part of a summary within one frame.
-	summarySize = 1200
+	maxSummaryPartSize = 1200
 	// mostNews bounds the changes that wait for the next summary of changes; a summary
 	// of all targets tells what is over it.
-	mostNews = 1024
+	maxChanges = 1024
 	// mostSummaries bounds the failure domains whose summaries are remembered, and
 	// mostParts the parts of one: as many targets as may be known. Anybody may send one.
-	mostSummaries = 64
-	mostParts     = 1024
+	maxSummaries    = 64
+	maxSummaryParts = 1024
 )
 
 // summary is how far a summary of all targets of a failure domain has arrived.
-type summary struct {
+type summaryState struct {
 	epoch  uint64
 	number uint32
 	parts  map[uint32]bool
 	// complete is when all parts of one were there whose sender knew all targets.
-	complete clock.Millis
+	completeAt clock.Millis
 	// relay is the balancer that gathered the last one, at told; none did if that is zero.
-	relay netip.AddrPort
-	told  clock.Millis
+	relay        netip.AddrPort
+	relayHeardAt clock.Millis
 }
 
 // told reports that balancers elsewhere are to be told at once.
-func (c Change) told() bool {
-	return c.New || c.Reborn || c.Left || c.Condition
+func (c TargetChange) urgent() bool {
+	return c.New || c.Restarted || c.Left || c.Condition
 }
 
 // entry is a report as a summary tells it.
-func entry(a netip.AddrPort, r *wire.Report, age, silent clock.Millis) *wire.Entry {
+func summaryEntry(a netip.AddrPort, r *wire.Report, age, silent clock.Millis) *wire.Entry {
 	return &wire.Entry{
 		Address: segment.AppendAddress(nil, a), Age: uint32(max(age, 0)), Silent: uint32(max(silent, 0)),
 		Report: &wire.Report{
@@ -69,7 +69,7 @@
 		Name: t.Name, Service: t.Service, Epoch: t.Epoch, Sequence: t.Sequence, Born: t.Born,
 		Condition: t.Condition, Slots: uint32(t.Slots), Flows: uint32(t.Flows), Busy: uint32(t.Busy * busyScale),
 		Cold: uint32(max(t.ColdUntil.Sub(now), 0)), Restarting: t.Restarting, Room: uint32(t.room),
-		Serving: uint32(t.Serving),
+		Serving: uint32(t.MeanLatency),
 	}
 }
 
@@ -78,7 +78,7 @@
 	if !t.Suspected(now) {
 		return 0
 	}
-	return max(now.Sub(t.waiting), 1)
+	return max(now.Sub(t.unansweredSince), 1)
 }
 
 // covered reports that a target elsewhere needs no probe of this balancer: balancers of
@@ -87,14 +87,14 @@
 // Probes of each balancer to each target would grow with the product of both. What
 // summaries cannot prove is still asked directly: that a target is lost, and whether its
 // agent knows what an earlier process did.
-func (ts *Targets) covered(now clock.Millis, t *Target) bool {
-	if t.Domain == ts.domain || t.waiting != 0 || t.doubted != 0 || t.owed {
+func (ts *Targets) coveredBySummary(now clock.Millis, t *Target) bool {
+	if t.Domain == ts.domain || t.unansweredSince != 0 || t.unresponsiveAt != 0 || t.previousUnreported {
 		return false
 	}
-	if t.Heard == 0 {
-		return now.Sub(t.learned) <= coverSoon
+	if t.HeardAt == 0 {
+		return now.Sub(t.learnedAt) <= firstSummaryWait
 	}
-	return t.told != 0 && now.Sub(t.told) <= coverFor
+	return t.respondingAt != 0 && now.Sub(t.respondingAt) <= summaryTTL
 }
 
 // summarize returns the targets of the own failure domain, and those that have just
@@ -102,13 +102,13 @@
 func (ts *Targets) summarize(now clock.Millis) []*wire.Entry {
 	var all []*wire.Entry
 	for _, t := range ts.Sorted() {
-		if t.Domain == ts.domain && t.Heard != 0 && !t.Lost(now) {
-			all = append(all, entry(t.Address, t.report(now), now.Sub(t.Heard), t.silence(now)))
+		if t.Domain == ts.domain && t.HeardAt != 0 && !t.Lost(now) {
+			all = append(all, summaryEntry(t.Address, t.report(now), now.Sub(t.HeardAt), t.silence(now)))
 		}
 	}
-	for a, d := range ts.left {
-		if d.report.Domain == ts.domain && now.Sub(d.at) < departedFor {
-			all = append(all, entry(a, d.report, now.Sub(d.at), 0))
+	for a, d := range ts.departed {
+		if d.report.Domain == ts.domain && now.Sub(d.at) < departureRetention {
+			all = append(all, summaryEntry(a, d.report, now.Sub(d.at), 0))
 		}
 	}
 	return all
@@ -118,41 +118,41 @@
 //
 // Summaries come late, twice and from several balancers; the agents' epochs and counts of
 // reports tell which one is later. One of an earlier process says nothing of this one.
-func (ts *Targets) Summarized(now clock.Millis, a netip.AddrPort, r *wire.Report, age, silent clock.Millis) Change {
-	if d, ok := ts.left[a]; ok && !after(r, d.report) && now.Sub(d.at) < lateFor {
-		return Change{}
+func (ts *Targets) ApplySummaryEntry(now clock.Millis, a netip.AddrPort, r *wire.Report, age, silent clock.Millis) TargetChange {
+	if d, ok := ts.departed[a]; ok && !madeAfter(r, d.report) && now.Sub(d.at) < maxSummaryDelay {
+		return TargetChange{}
 	}
 	t, known := ts.known[a]
-	if known && t.Heard != 0 && r.Epoch < t.Epoch {
-		return Change{}
+	if known && t.HeardAt != 0 && r.Epoch < t.Epoch {
+		return TargetChange{}
 	}
-	fresh := !known || t.Heard == 0 || r.Epoch > t.Epoch || r.Sequence > t.Sequence
+	fresh := !known || t.HeardAt == 0 || r.Epoch > t.Epoch || r.Sequence > t.Sequence
 	placed := 0.0
 	if known {
 		placed = t.placed
 	}
-	c := Change{}
+	c := TargetChange{}
 	if fresh {
-		c = ts.Report(now, a, r)
+		c = ts.ApplyReport(now, a, r)
 	}
 	t, known = ts.known[a]
 	if !known {
 		return c
 	}
 	if fresh {
-		t.Heard, t.earlier = max(now-age, 1), placed
+		t.HeardAt, t.placedBefore = max(now-age, 1), placed
 	}
 	switch {
 	case silent == 0:
-		t.told = now
+		t.respondingAt = now
 	case r.Sequence >= t.Sequence:
-		t.doubted = now
+		t.unresponsiveAt = now
 	}
 	return c
 }
 
 // after reports that a report was made after the one with which its target left.
-func after(r, left *wire.Report) bool {
+func madeAfter(r, left *wire.Report) bool {
 	return r.Epoch > left.Epoch || r.Epoch == left.Epoch && r.Sequence > left.Sequence
 }
 
@@ -160,29 +160,29 @@
 // there has told this one of them lately.
 func (ts *Targets) Complete(now clock.Millis, domain string) bool {
 	s := ts.summaries[domain]
-	return s != nil && s.complete != 0 && now.Sub(s.complete) <= coverFor
+	return s != nil && s.completeAt != 0 && now.Sub(s.completeAt) <= summaryTTL
 }
 
 // arrived notes a summary of another failure domain.
-func (ts *Targets) arrived(now clock.Millis, m *wire.Summary) {
+func (ts *Targets) recordSummary(now clock.Millis, m *wire.Summary) {
 	s := ts.summaries[m.Domain]
 	if s == nil {
-		if len(ts.summaries) >= mostSummaries {
+		if len(ts.summaries) >= maxSummaries {
 			return
 		}
-		s = &summary{}
+		s = &summaryState{}
 		ts.summaries[m.Domain] = s
 	}
 	if relay, err := segment.ParseAddress(m.Relay); err == nil {
-		s.relay, s.told = relay, now
+		s.relay, s.relayHeardAt = relay, now
 	}
-	if m.Number != 0 && m.Parts <= mostParts {
-		s.part(now, m)
+	if m.Number != 0 && m.Parts <= maxSummaryParts {
+		s.recordPart(now, m)
 	}
 }
 
 // part notes a part of a summary of all targets.
-func (s *summary) part(now clock.Millis, m *wire.Summary) {
+func (s *summaryState) recordPart(now clock.Millis, m *wire.Summary) {
 	if s.epoch != m.Epoch || s.number != m.Number {
 		s.epoch, s.number, s.parts = m.Epoch, m.Number, map[uint32]bool{}
 	}
@@ -190,17 +190,17 @@
 		s.parts[m.Part] = true
 	}
 	if m.Complete && len(s.parts) == int(m.Parts) {
-		s.complete = now
+		s.completeAt = now
 	}
 }
 
 // FarAge returns how many targets of other failure domains answer, and how old what is
 // known of them is on the mean.
-func (ts *Targets) FarAge(now clock.Millis) (count int, age clock.Millis) {
+func (ts *Targets) RemoteAge(now clock.Millis) (count int, age clock.Millis) {
 	for _, t := range ts.known {
 		if t.Domain != ts.domain && !t.Suspected(now) {
 			count++
-			age += now.Sub(t.Heard)
+			age += now.Sub(t.HeardAt)
 		}
 	}
 	return count, age / clock.Millis(max(count, 1))
@@ -217,8 +217,8 @@
 
 // spread keeps a change of a target of the own failure domain for the next summary of
 // changes.
-func (s *Steerer) spread(e *wire.Entry) {
-	if s.relay && len(s.news) < mostNews {
+func (s *Steerer) queueChange(e *wire.Entry) {
+	if s.relay && len(s.news) < maxChanges {
 		s.news = append(s.news, e)
 	}
 }
@@ -227,41 +227,41 @@
 // they were told last, to the next summary of changes.
 //
 // Balancers elsewhere would all choose the target that had room half a second ago.
-func (s *Steerer) noteLoads(now clock.Millis) {
+func (s *Steerer) queueLoads(now clock.Millis) {
 	for _, t := range s.Targets.Sorted() {
-		if t.Domain != s.settings.Domain || t.Heard == 0 {
+		if t.Domain != s.settings.Domain || t.HeardAt == 0 {
 			continue
 		}
-		loaded := t.Busy > overload*float64(max(t.Slots, 1))
-		if loaded || t.loaded {
-			s.spread(entry(t.Address, t.report(now), now.Sub(t.Heard), t.silence(now)))
+		loaded := t.Busy > overloadThreshold*float64(max(t.Slots, 1))
+		if loaded || t.sentLoaded {
+			s.queueChange(summaryEntry(t.Address, t.report(now), now.Sub(t.HeardAt), t.silence(now)))
 		}
-		t.loaded = loaded
+		t.sentLoaded = loaded
 	}
 }
 
 // HasNews reports that a target of the own failure domain has changed in a way that
 // balancers elsewhere are to be told at once.
-func (s *Steerer) HasNews() bool {
+func (s *Steerer) HasChanges() bool {
 	return len(s.news) > 0
 }
 
 // News returns these targets in summaries of changes. With loads they tell of those whose
 // slots are in use as well; there may be none then.
-func (s *Steerer) News(now clock.Millis, loads bool) []*wire.Summary {
+func (s *Steerer) Changes(now clock.Millis, loads bool) []*wire.Summary {
 	if loads {
-		s.noteLoads(now)
+		s.queueLoads(now)
 	}
 	if len(s.news) == 0 {
 		return nil
 	}
 	entries := s.news
 	s.news = nil
-	unname(entries)
-	return s.parts(entries)
+	dropNames(entries)
+	return s.split(entries)
 }
 
-func unname(entries []*wire.Entry) {
+func dropNames(entries []*wire.Entry) {
 	for _, e := range entries {
 		e.Report.Name = ""
 	}
@@ -272,10 +272,10 @@
 func (s *Steerer) Summary(now clock.Millis, epoch uint64, number uint32, complete bool) []*wire.Summary {
 	s.news = nil
 	entries := s.Targets.summarize(now)
-	if number%namedEvery != 1 {
-		unname(entries)
+	if number%nameInterval != 1 {
+		dropNames(entries)
 	}
-	parts := s.parts(entries)
+	parts := s.split(entries)
 	for i, p := range parts {
 		p.Epoch, p.Number, p.Complete = epoch, number, complete
 		p.Part, p.Parts = uint32(i), uint32(len(parts))
@@ -284,12 +284,12 @@
 }
 
 // parts cuts entries into summaries of a frame; there is one at least.
-func (s *Steerer) parts(entries []*wire.Entry) []*wire.Summary {
+func (s *Steerer) split(entries []*wire.Entry) []*wire.Summary {
 	var parts []*wire.Summary
-	size := summarySize
+	size := maxSummaryPartSize
 	for _, e := range entries {
-		if n := e.SizeVT(); size+n > summarySize {
-			parts = append(parts, s.empty())
+		if n := e.SizeVT(); size+n > maxSummaryPartSize {
+			parts = append(parts, s.emptySummary())
 			size = 0
 		}
 		p := parts[len(parts)-1]
@@ -297,12 +297,12 @@
 		size += e.SizeVT()
 	}
 	if len(parts) == 0 {
-		return []*wire.Summary{s.empty()}
+		return []*wire.Summary{s.emptySummary()}
 	}
 	return parts
 }
 
-func (s *Steerer) empty() *wire.Summary {
+func (s *Steerer) emptySummary() *wire.Summary {
 	m := &wire.Summary{Domain: s.settings.Domain}
 	if s.settings.Address.IsValid() {
 		m.Relay = segment.AppendAddress(nil, s.settings.Address)
@@ -311,7 +311,7 @@
 }
 
 // HearSummary takes a summary of another failure domain.
-func (s *Steerer) HearSummary(now clock.Millis, m *wire.Summary) {
+func (s *Steerer) HandleSummary(now clock.Millis, m *wire.Summary) {
 	if m.Domain == s.settings.Domain {
 		return
 	}
@@ -322,7 +322,7 @@
 		}
 		r := e.Report
 		r.Domain, r.Probe = m.Domain, 0
-		s.changed(now, a, r, s.Targets.Summarized(now, a, r, clock.Millis(e.Age), clock.Millis(e.Silent)))
+		s.changed(now, a, r, s.Targets.ApplySummaryEntry(now, a, r, clock.Millis(e.Age), clock.Millis(e.Silent)))
 	}
-	s.Targets.arrived(now, m)
+	s.Targets.recordSummary(now, m)
 }
--- a/internal/connection/stream/summary_test.go
+++ b/internal/connection/stream/summary_test.go
@@ -10,29 +10,29 @@
 )
 
 // summarized is a balancer of failure domain a that knows targets of b by summaries.
-func summarized(t *testing.T, targets int) *Steerer {
+func newSummarizedSteerer(t *testing.T, targets int) *Steerer {
 	t.Helper()
 	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
 	for i := range targets {
-		s.HearSummary(testNow, changeOf(i, ready(1, 1), 0))
+		s.HandleSummary(testNow, changeSummary(i, readyReport(1, 1), 0))
 	}
 	return s
 }
 
 // ready is a report of a process of an agent, by its start and the report's number.
-func ready(epoch, sequence uint64) *wire.Report {
+func readyReport(epoch, sequence uint64) *wire.Report {
 	return &wire.Report{
 		Service: "one", Epoch: epoch, Sequence: sequence, Born: 1, Condition: wire.Condition_CONDITION_READY, Slots: 2,
 	}
 }
 
-func changeOf(target int, r *wire.Report, silent clock.Millis) *wire.Summary {
+func changeSummary(target int, r *wire.Report, silent clock.Millis) *wire.Summary {
 	r.Name = fmt.Sprint("t", target)
-	return &wire.Summary{Domain: "b", Entries: []*wire.Entry{entry(worldAddress(2, target), r, 0, silent)}}
+	return &wire.Summary{Domain: "b", Entries: []*wire.Entry{summaryEntry(worldAddress(2, target), r, 0, silent)}}
 }
 
 // probes counts the probes that a balancer sends in a span, by target.
-func probes(s *Steerer, from, to clock.Millis, each func(now clock.Millis)) map[netip.AddrPort]int {
+func countProbes(s *Steerer, from, to clock.Millis, each func(now clock.Millis)) map[netip.AddrPort]int {
 	all := map[netip.AddrPort]int{}
 	for now := from; now < to; now += 50 {
 		each(now)
@@ -46,21 +46,21 @@
 
 // Hundreds of targets are in other failure domains, and balancers there tell how they do.
 // This one need not ask any of them itself; once it is no longer told, it does.
-func TestSummariesStandInForProbes(t *testing.T) {
+func TestSummariesReplaceProbes(t *testing.T) {
 	const targets = 200
-	s := summarized(t, targets)
+	s := newSummarizedSteerer(t, targets)
 	sequence := uint64(1)
 	end := testNow + 10*clock.Second
-	asked := probes(s, testNow, end, func(now clock.Millis) {
+	asked := countProbes(s, testNow, end, func(now clock.Millis) {
 		sequence++
 		for i := range targets {
-			s.HearSummary(now, changeOf(i, ready(1, sequence), 0))
+			s.HandleSummary(now, changeSummary(i, readyReport(1, sequence), 0))
 		}
 	})
 	if len(asked) > 0 {
 		t.Errorf("%d targets were probed although they were told of", len(asked))
 	}
-	asked = probes(s, end, end+coverFor+clock.Second, func(clock.Millis) {})
+	asked = countProbes(s, end, end+summaryTTL+clock.Second, func(clock.Millis) {})
 	if len(asked) != targets {
 		t.Errorf("%d of %d targets were probed after the last summary", len(asked), targets)
 	}
@@ -69,22 +69,22 @@
 // A relay leaves probes of a target unanswered, because the target is lost or the relay
 // is cut off from it. The target gets no openings and is asked directly; only its own
 // silence makes it count as lost, and its answer makes it count as there.
-func TestSummaryDoubts(t *testing.T) {
+func TestSummaryOfUnresponsiveTarget(t *testing.T) {
 	for _, answers := range []bool{false, true} {
-		s := summarized(t, 2)
+		s := newSummarizedSteerer(t, 2)
 		at := worldAddress(2, 0)
-		s.HearSummary(testNow+100, changeOf(0, ready(1, 1), 400))
+		s.HandleSummary(testNow+100, changeSummary(0, readyReport(1, 1), 400))
 		target, _ := s.Targets.Find(at)
 		if !target.Suspected(testNow+100) || target.Lost(testNow+100) {
 			t.Fatalf("suspected %v, lost %v", target.Suspected(testNow+100), target.Lost(testNow+100))
 		}
-		end := testNow + deadAfter + clock.Second
-		probes(s, testNow+150, end, func(now clock.Millis) {
-			s.HearSummary(now, changeOf(0, ready(1, 1), 400))
-			s.HearSummary(now, changeOf(1, ready(1, uint64(now)), 0))
-			if answers && target.probe != 0 {
-				r := ready(1, uint64(now))
-				r.Domain, r.Probe = "b", target.probe
+		end := testNow + lostAfter + clock.Second
+		countProbes(s, testNow+150, end, func(now clock.Millis) {
+			s.HandleSummary(now, changeSummary(0, readyReport(1, 1), 400))
+			s.HandleSummary(now, changeSummary(1, readyReport(1, uint64(now)), 0))
+			if answers && target.probeNumber != 0 {
+				r := readyReport(1, uint64(now))
+				r.Domain, r.Probe = "b", target.probeNumber
 				s.Hear(now, at, &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 			}
 		})
@@ -98,12 +98,12 @@
 // heard yet what the other one has. The later word of the agent stands.
 func TestSummariesOutOfOrder(t *testing.T) {
 	draining := func(epoch, sequence uint64) *wire.Report {
-		r := ready(epoch, sequence)
+		r := readyReport(epoch, sequence)
 		r.Condition = wire.Condition_CONDITION_DRAINING
 		return r
 	}
 	gone := func(epoch, sequence uint64) *wire.Report {
-		r := ready(epoch, sequence)
+		r := readyReport(epoch, sequence)
 		r.Condition = wire.Condition_CONDITION_GONE
 		return r
 	}
@@ -113,20 +113,20 @@
 		known bool
 		opens bool
 	}{
-		{"an earlier report after a later one", []*wire.Report{draining(1, 5), ready(1, 4)}, true, false},
-		{"a report of an earlier process", []*wire.Report{draining(3, 1), ready(2, 9)}, true, false},
-		{"a report of a later process", []*wire.Report{draining(1, 5), ready(2, 1)}, true, true},
-		{"a report of before the target left", []*wire.Report{gone(1, 6), ready(1, 5)}, false, false},
+		{"an earlier report after a later one", []*wire.Report{draining(1, 5), readyReport(1, 4)}, true, false},
+		{"a report of an earlier process", []*wire.Report{draining(3, 1), readyReport(2, 9)}, true, false},
+		{"a report of a later process", []*wire.Report{draining(1, 5), readyReport(2, 1)}, true, true},
+		{"a report of before the target left", []*wire.Report{gone(1, 6), readyReport(1, 5)}, false, false},
 		{"left, told twice", []*wire.Report{gone(1, 6), gone(1, 6)}, false, false},
-		{"another target after one left", []*wire.Report{gone(1, 6), ready(1, 7)}, true, true},
+		{"another target after one left", []*wire.Report{gone(1, 6), readyReport(1, 7)}, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := summarized(t, 1)
+			s := newSummarizedSteerer(t, 1)
 			for _, r := range c.heard {
-				s.HearSummary(testNow+1, changeOf(0, r, 0))
+				s.HandleSummary(testNow+1, changeSummary(0, r, 0))
 			}
 			target, known := s.Targets.Find(worldAddress(2, 0))
-			if known != c.known || known && target.Opens(testNow+2) != c.opens {
+			if known != c.known || known && target.AcceptsFlows(testNow+2) != c.opens {
 				t.Errorf("known %v, want %v; the target is %+v", known, c.known, target)
 			}
 		})
@@ -137,22 +137,22 @@
 // its agent's start lies before that of the one that left. It must become known all the
 // same, and until then the balancer must not take itself to know all that others name.
 func TestAddressReusedAfterClockStep(t *testing.T) {
-	s := summarized(t, 1)
+	s := newSummarizedSteerer(t, 1)
 	at := worldAddress(2, 0)
-	gone := ready(9, 5)
+	gone := readyReport(9, 5)
 	gone.Condition = wire.Condition_CONDITION_GONE
-	s.HearSummary(testNow, changeOf(0, gone, 0))
+	s.HandleSummary(testNow, changeSummary(0, gone, 0))
 	now := testNow + clock.Second
-	s.HearSummary(now, changeOf(0, ready(2, 1), 0))
+	s.HandleSummary(now, changeSummary(0, readyReport(2, 1), 0))
 	if _, ok := s.Targets.Find(at); ok {
 		t.Error("a summary of before took the target back")
 	}
 	if !s.Targets.Learn(now, at, "t0", "b", "one") {
 		t.Error("a target that others name counts as known")
 	}
-	now = testNow + lateFor
-	s.HearSummary(now, changeOf(0, ready(2, 8), 0))
-	if target, ok := s.Targets.Find(at); !ok || !target.Opens(now) {
+	now = testNow + maxSummaryDelay
+	s.HandleSummary(now, changeSummary(0, readyReport(2, 8), 0))
+	if target, ok := s.Targets.Find(at); !ok || !target.AcceptsFlows(now) {
 		t.Errorf("the target that is there now: %+v", target)
 	}
 }
@@ -161,8 +161,8 @@
 // which opened flows that the new one never saw. It asks the agent once itself, so that
 // the agent does not deny them.
 func TestSummaryOfRestartedAgent(t *testing.T) {
-	s := summarized(t, 1)
-	s.HearSummary(testNow+10, changeOf(0, ready(2, 1), 0))
+	s := newSummarizedSteerer(t, 1)
+	s.HandleSummary(testNow+10, changeSummary(0, readyReport(2, 1), 0))
 	s.Tick(testNow + 20)
 	var told []*wire.Report
 	for _, send := range s.Take().Sends {
@@ -177,17 +177,17 @@
 
 // A target drains, falls silent or leaves: the relay has a summary for other failure
 // domains at once, and names the one that has left for as long as summaries may be lost.
-func TestRelayTellsChanges(t *testing.T) {
+func TestRelaySendsChanges(t *testing.T) {
 	s := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
 	s.SetRelay(true)
 	report := func(now clock.Millis, sequence uint64, condition wire.Condition) {
-		r := ready(1, sequence)
+		r := readyReport(1, sequence)
 		r.Domain, r.Condition = "b", condition
 		s.Hear(now, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	want := func(condition wire.Condition, silent bool) {
 		t.Helper()
-		parts := s.News(testNow, false)
+		parts := s.Changes(testNow, false)
 		if len(parts) != 1 || len(parts[0].Entries) != 1 {
 			t.Fatalf("told %v, want one change", parts)
 		}
@@ -199,19 +199,19 @@
 	report(testNow, 1, wire.Condition_CONDITION_READY)
 	want(wire.Condition_CONDITION_READY, false)
 	report(testNow+10, 2, wire.Condition_CONDITION_READY)
-	if s.HasNews() {
+	if s.HasChanges() {
 		t.Error("a report that changes nothing is told at once")
 	}
 	report(testNow+20, 3, wire.Condition_CONDITION_DRAINING)
 	want(wire.Condition_CONDITION_DRAINING, false)
 	now := testNow + 20
-	for ; now < testNow+clock.Second && !s.HasNews(); now += 50 {
+	for ; now < testNow+clock.Second && !s.HasChanges(); now += 50 {
 		s.Tick(now)
 	}
 	want(wire.Condition_CONDITION_DRAINING, true)
 	report(now, 4, wire.Condition_CONDITION_GONE)
 	want(wire.Condition_CONDITION_GONE, false)
-	for i, at := range []clock.Millis{now + departedFor - 1, now + departedFor + 1} {
+	for i, at := range []clock.Millis{now + departureRetention - 1, now + departureRetention + 1} {
 		entries := s.Summary(at, 1, uint32(i+1), true)[0].Entries
 		if named := len(entries) == 1; named != (i == 0) {
 			t.Errorf("%d ms after it left, the target is named: %v", at.Sub(now), named)
@@ -221,22 +221,22 @@
 
 // A target's slots are in use, and the flows of another failure domain leave it. Balancers
 // there hear of it with the next summary of changes, and once more when there is room.
-func TestRelayTellsLoads(t *testing.T) {
+func TestRelaySendsLoads(t *testing.T) {
 	s := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
 	s.SetRelay(true)
 	report := func(sequence uint64, busy uint32) {
-		r := ready(1, sequence)
+		r := readyReport(1, sequence)
 		r.Domain, r.Busy = "b", busy*busyScale
 		s.Hear(testNow, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	report(1, 0)
-	s.News(testNow, true)
+	s.Changes(testNow, true)
 	for i, c := range []struct {
 		busy uint32
 		told bool
 	}{{0, false}, {2, true}, {2, true}, {0, true}, {0, false}} {
 		report(uint64(i+2), c.busy)
-		if told := len(s.News(testNow, true)) == 1; told != c.told {
+		if told := len(s.Changes(testNow, true)) == 1; told != c.told {
 			t.Errorf("report %d, with %d requests under way: told %v", i, c.busy, told)
 		}
 	}
@@ -245,7 +245,7 @@
 // Names are in one of four summaries, and what is known stays.
 func TestSummaryKeepsNames(t *testing.T) {
 	relay := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
-	r := ready(1, 1)
+	r := readyReport(1, 1)
 	r.Domain, r.Name = "b", "t0"
 	relay.Hear(testNow, worldAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
@@ -255,7 +255,7 @@
 		if part.Entries[0].Report.Name != "" {
 			named++
 		}
-		s.HearSummary(testNow, part)
+		s.HandleSummary(testNow, part)
 		if target, _ := s.Targets.Find(worldAddress(2, 0)); target.Name != "t0" {
 			t.Errorf("after summary %d the target is called %q", number+1, target.Name)
 		}
@@ -271,7 +271,7 @@
 	const targets = 470
 	relay := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
 	for i := range targets {
-		r := ready(1, 1)
+		r := readyReport(1, 1)
 		r.Name, r.Domain = fmt.Sprintf("side-place-b-%d", i), "b"
 		relay.Hear(testNow, worldAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
@@ -283,7 +283,7 @@
 				t.Errorf("a part takes %d bytes", size)
 			}
 			if i != lost {
-				s.HearSummary(testNow, part)
+				s.HandleSummary(testNow, part)
 			}
 		}
 		if got := s.Targets.Complete(testNow, "b"); got != (lost < 0) {
@@ -298,20 +298,20 @@
 // A failure domain is overloaded and its flows leave it. What is known of targets
 // elsewhere was gathered before the last flows were sent there: these count until a
 // summary that was made after them.
-func TestPlacedOutliveSummary(t *testing.T) {
-	s := summarized(t, 2)
+func TestPlacedFlowsOutliveSummary(t *testing.T) {
+	s := newSummarizedSteerer(t, 2)
 	table := s.Targets
 	for range 4 {
-		table.Choose(testNow, Demand{Service: "one"})
+		table.Choose(testNow, PlacementRequest{Service: "one"})
 	}
-	s.HearSummary(testNow+10, changeOf(0, ready(1, 2), 0))
+	s.HandleSummary(testNow+10, changeSummary(0, readyReport(1, 2), 0))
 	each := flowLoad{open: 0.1, fresh: 0.1}
 	first, _ := table.Find(worldAddress(2, 0))
 	second, _ := table.Find(worldAddress(2, 1))
 	if a, b := table.cost(testNow+10, first, each), table.cost(testNow+10, second, each); a < b {
 		t.Errorf("the target just told of costs %.2f, the other one %.2f, with as many flows placed", a, b)
 	}
-	s.HearSummary(testNow+500, changeOf(0, ready(1, 3), 0))
+	s.HandleSummary(testNow+500, changeSummary(0, readyReport(1, 3), 0))
 	if got := table.cost(testNow+500, first, each); got != 0 {
 		t.Errorf("the flows placed before the last summary but one still cost %.2f", got)
 	}
@@ -320,16 +320,16 @@
 // Anybody may send summaries, of ever new failure domains and in ever more parts.
 func TestSummariesAreBounded(t *testing.T) {
 	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
-	for i := range 3 * mostSummaries {
-		s.HearSummary(testNow, &wire.Summary{Domain: fmt.Sprint("d", i), Number: 1, Parts: 1})
+	for i := range 3 * maxSummaries {
+		s.HandleSummary(testNow, &wire.Summary{Domain: fmt.Sprint("d", i), Number: 1, Parts: 1})
 	}
-	if got := len(s.Targets.summaries); got > mostSummaries {
+	if got := len(s.Targets.summaries); got > maxSummaries {
 		t.Errorf("%d failure domains are remembered", got)
 	}
-	for i := range 3 * mostParts {
-		s.HearSummary(testNow, &wire.Summary{Domain: "d0", Number: 2, Part: uint32(i), Parts: 3 * mostParts})
+	for i := range 3 * maxSummaryParts {
+		s.HandleSummary(testNow, &wire.Summary{Domain: "d0", Number: 2, Part: uint32(i), Parts: 3 * maxSummaryParts})
 	}
-	if got := len(s.Targets.summaries["d0"].parts); got > mostParts {
+	if got := len(s.Targets.summaries["d0"].parts); got > maxSummaryParts {
 		t.Errorf("%d parts of a summary are remembered", got)
 	}
 }
--- a/internal/connection/stream/upstream.go
+++ b/internal/connection/stream/upstream.go
@@ -10,14 +10,14 @@
 	// that is heard for no earlier process of the agent to have served it, and
 	// youngPart the part of the pause between two heartbeats within which that must be,
 	// in percent: once one is acknowledged, the next comes after the whole pause.
-	youngSequence = 6
-	youngPart     = 75
+	maxFirstSequence   = 6
+	maxFirstAgePercent = 75
 	// beatSlack is how much later than planned a heartbeat may come.
-	beatSlack = 200 * clock.Millis(1)
+	heartbeatSlack = 200 * clock.Millis(1)
 )
 
 // Beat is what a target says of itself in one heartbeat.
-type Beat struct {
+type Heartbeat struct {
 	Service string
 	// Born is the target's start, and Sequence counts its heartbeats.
 	Born     uint64
@@ -36,42 +36,42 @@
 	born     uint64
 	sequence uint64
 	// beats counts the heartbeats that were heard of this start.
-	beats     int
-	draining  bool
-	gone      bool
-	slots     int
-	coldUntil clock.Millis
+	heartbeats int
+	draining   bool
+	gone       bool
+	slots      int
+	coldUntil  clock.Millis
 	// beat is when the last heartbeat came, and seen the last sign of life.
-	beat clock.Millis
-	seen clock.Millis
+	lastHeartbeat clock.Millis
+	lastSeen      clock.Millis
 	// pending is when the first opening was handed over since the target's last
 	// packet; zero if none was.
-	pending clock.Millis
+	pendingSince clock.Millis
 	// checked is when it was last looked whether the target is there; refused and
 	// unanswered count what was found since its last sign of life.
-	checked    clock.Millis
-	refused    int
-	unanswered int
+	lastDial        clock.Millis
+	refusedDials    int
+	unansweredDials int
 	// listens tells that the last look found a process.
-	listens bool
+	listening bool
 	// outlier judges how it ends requests.
 	outlier outlier
 }
 
 // sign notes a sign of life.
-func (u *upstream) sign(now clock.Millis) {
-	u.seen, u.pending, u.refused, u.unanswered = now, 0, 0, 0
+func (u *upstream) recordActivity(now clock.Millis) {
+	u.lastSeen, u.pendingSince, u.refusedDials, u.unansweredDials = now, 0, 0, 0
 }
 
 // down reports that there is no target process.
 func (u *upstream) down() bool {
-	return u.refused >= absences
+	return u.refusedDials >= minFailedDials
 }
 
 // missing reports that nothing was heard of the target yet, and that nobody listens
 // at its address.
-func (u *upstream) missing() bool {
-	return !u.known && u.seen == 0 && !u.listens
+func (u *upstream) notFound() bool {
+	return !u.known && u.lastSeen == 0 && !u.listening
 }
 
 // Beat takes a heartbeat of the target. It is to be acknowledged after this: the
@@ -80,36 +80,36 @@
 // A target that started anew has none of the flows of before. Their callers are
 // told at once, so that they come back instead of waiting. Flows that were opened since
 // the last heartbeat of the earlier one may be the new one's.
-func (h *Holder) Beat(now clock.Millis, b Beat) {
-	u := &h.upstream
-	if u.late(now, b, h.settings.SilentAfter) {
+func (tr *Tracker) HandleHeartbeat(now clock.Millis, b Heartbeat) {
+	u := &tr.upstream
+	if u.outdated(now, b, tr.settings.HeartbeatTimeout) {
 		return
 	}
-	before := h.condition(now)
+	before := tr.condition(now)
 	switch {
 	case !u.known:
-		h.complete = h.sawAll(b)
+		tr.sawAllFlows = tr.sawAllOpenings(b)
 	case b.Born != u.born:
-		h.resetBefore(u.beat, "the target started anew")
-		h.complete = true
+		tr.resetFlowsBefore(u.lastHeartbeat, "the target started anew")
+		tr.sawAllFlows = true
 		*u = upstream{}
 	}
-	if !u.known && !h.complete {
-		h.window.Unknown(now)
+	if !u.known && !tr.sawAllFlows {
+		tr.window.Unknown(now)
 	}
 	u.known, u.gone = true, false
 	u.born, u.sequence, u.draining = b.Born, b.Sequence, b.Draining
 	u.slots, u.coldUntil = b.Slots, now+b.Cold
-	u.beat = now
-	u.beats++
-	u.sign(now)
-	h.judgePast(now)
-	if after := h.condition(now); after != before {
+	u.lastHeartbeat = now
+	u.heartbeats++
+	u.recordActivity(now)
+	tr.judgePrevious(now)
+	if after := tr.condition(now); after != before {
 		reason := after.String()
-		if !h.complete {
+		if !tr.sawAllFlows {
 			reason += ", its earlier flows are not known"
 		}
-		h.out.note(Event{Kind: Upstream, Reason: reason, Service: h.settings.Service, Count: int(b.Sequence), Age: b.Age})
+		tr.out.note(Event{Kind: Upstream, Reason: reason, Service: tr.settings.Service, Count: int(b.Sequence), Age: b.Age})
 	}
 }
 
@@ -118,31 +118,31 @@
 // acknowledges a heartbeat, and then the target would have waited before this one. The
 // VM's clock may have been set between the target's start and now, so the number of
 // heartbeats must fit as well.
-func (h *Holder) sawAll(b Beat) bool {
+func (tr *Tracker) sawAllOpenings(b Heartbeat) bool {
 	if b.Sequence <= 1 {
 		return true
 	}
-	young := b.Age >= 0 && b.Age <= h.settings.Heartbeat*youngPart/100
-	return b.Sequence <= youngSequence && b.Born != 0 && young
+	young := b.Age >= 0 && b.Age <= tr.settings.Heartbeat*maxFirstAgePercent/100
+	return b.Sequence <= maxFirstSequence && b.Born != 0 && young
 }
 
 // late reports a heartbeat that was overtaken. The start of a target orders its
 // incarnations unless the VM's clock was set back between them: then the later
 // one seems older, but the one that it follows is silent.
-func (u *upstream) late(now clock.Millis, b Beat, silent clock.Millis) bool {
+func (u *upstream) outdated(now clock.Millis, b Heartbeat, silent clock.Millis) bool {
 	if !u.known {
 		return false
 	}
 	if b.Born == u.born {
 		return b.Sequence <= u.sequence
 	}
-	return b.Born < u.born && now.Sub(u.beat) < silent
+	return b.Born < u.born && now.Sub(u.lastHeartbeat) < silent
 }
 
 // Leave notes that the target has said that it ends. Its flows end with it.
-func (h *Holder) Leave(now clock.Millis) {
-	h.upstream.gone = true
-	h.out.note(Event{Kind: Upstream, Reason: "left", Service: h.settings.Service, Age: now.Sub(h.upstream.beat)})
+func (tr *Tracker) RecordLeave(now clock.Millis) {
+	tr.upstream.gone = true
+	tr.out.note(Event{Kind: Upstream, Reason: "left", Service: tr.settings.Service, Age: now.Sub(tr.upstream.lastHeartbeat)})
 }
 
 // Stop tells the callers of flows whose target has ended. It must only be called
@@ -151,52 +151,52 @@
 //
 // A target of which there is no process has left as well, whether it said so or
 // not: its VM may be taken away, and balancers need not wait for this agent.
-func (h *Holder) Stop(now clock.Millis) {
-	h.stopping = true
-	h.upstream.gone = h.upstream.gone || h.upstream.down() || h.empty(now)
-	if h.upstream.gone {
-		h.resetBefore(now+1, "the target has ended")
+func (tr *Tracker) Stop(now clock.Millis) {
+	tr.stopping = true
+	tr.upstream.gone = tr.upstream.gone || tr.upstream.down() || tr.noTarget(now)
+	if tr.upstream.gone {
+		tr.resetFlowsBefore(now+1, "the target has ended")
 	}
 }
 
 // Gone reports whether the target has left.
-func (h *Holder) Gone() bool {
-	return h.upstream.gone
+func (tr *Tracker) Gone() bool {
+	return tr.upstream.gone
 }
 
 // resetBefore ends the flows that were opened before a time at their callers.
-func (h *Holder) resetBefore(before clock.Millis, reason string) {
+func (tr *Tracker) resetFlowsBefore(before clock.Millis, reason string) {
 	ended := 0
-	for _, id := range h.flows.Keys() {
-		f, ok := h.flows.Peek(id)
-		if !ok || f.opened >= before {
+	for _, id := range tr.flows.Keys() {
+		f, ok := tr.flows.Peek(id)
+		if !ok || f.openedAt >= before {
 			continue
 		}
-		h.flows.Remove(id)
-		h.denied.Add(id, struct{}{})
-		if f.ended == 0 && f.open {
-			h.out.Resets = append(h.out.Resets, Reset{Flow: id, Seq: f.ack})
+		tr.flows.Remove(id)
+		tr.denied.Add(id, struct{}{})
+		if f.endedAt == 0 && f.open {
+			tr.out.Resets = append(tr.out.Resets, Reset{Flow: id, Seq: f.ack})
 			ended++
 		}
 	}
 	if ended > 0 {
-		h.out.note(Event{Kind: Ended, Service: h.settings.Service, Reason: reason, Count: ended})
+		tr.out.note(Event{Kind: Ended, Service: tr.settings.Service, Reason: reason, Count: ended})
 	}
 }
 
 // Accepting reports whether the target takes new flows. One that fails requests
 // does: balancers send it some only where there is no better one.
-func (h *Holder) Accepting(now clock.Millis) bool {
-	c := h.condition(now)
+func (tr *Tracker) Accepting(now clock.Millis) bool {
+	c := tr.condition(now)
 	return c == wire.Condition_CONDITION_READY || c == wire.Condition_CONDITION_FAILING
 }
 
-func (h *Holder) condition(now clock.Millis) wire.Condition {
-	u := &h.upstream
+func (tr *Tracker) condition(now clock.Millis) wire.Condition {
+	u := &tr.upstream
 	switch {
-	case u.gone || h.empty(now):
+	case u.gone || tr.noTarget(now):
 		return wire.Condition_CONDITION_GONE
-	case !u.known || u.down() || now.Sub(u.beat) > h.settings.SilentAfter:
+	case !u.known || u.down() || now.Sub(u.lastHeartbeat) > tr.settings.HeartbeatTimeout:
 		return wire.Condition_CONDITION_UNKNOWN
 	case u.draining:
 		return wire.Condition_CONDITION_DRAINING
@@ -208,6 +208,6 @@
 }
 
 // Flows returns how many flows are remembered.
-func (h *Holder) Flows() int {
-	return h.flows.Len()
+func (tr *Tracker) Flows() int {
+	return tr.flows.Len()
 }
--- a/internal/connection/stream/waiting.go
+++ b/internal/connection/stream/waiting.go
@@ -93,7 +93,7 @@
 // served reports that an opening would get an answer: a target takes it, there is no
 // listener, or it is certain that nothing may take it. full are those that are known to have none.
 func (s *Steerer) served(now clock.Millis, id segment.Flow, full map[wanted]bool) bool {
-	if s.table == nil || s.blind() && now.Sub(s.started) <= startFor {
+	if s.table == nil || s.evacuationsUnknown() && now.Sub(s.started) <= startFor {
 		return false
 	}
 	service, err := s.table.Pick(id)
@@ -101,7 +101,7 @@
 		return true
 	}
 	w := wanted{listener: id.Listener, service: service}
-	d := Demand{Service: service, Homes: s.table.Homes(id), Warming: s.warming(service)}
-	full[w] = full[w] || !s.Targets.ready(now, &d) && (!s.certain(now) || s.Targets.barred(now, &d) == "")
+	d := PlacementRequest{Service: service, HomeRegions: s.table.Homes(id), WarmingRate: s.warming(service)}
+	full[w] = full[w] || !s.Targets.hasUsable(now, &d) && (!s.certain(now) || s.Targets.blockedReason(now, &d) == "")
 	return !full[w]
 }
--- a/internal/connection/stream/world_test.go
+++ b/internal/connection/stream/world_test.go
@@ -78,7 +78,7 @@
 	served    int
 	failures  []string
 	// objects are the sheets of checkpoints, by failure domain.
-	objects map[string]*worldObject
+	objects map[string]*simObject
 	// trace, if set, is shown all events.
 	trace func(who string, events []Event)
 }
@@ -112,7 +112,7 @@
 	address netip.AddrPort
 	domain  string
 	service string
-	holder  *Holder
+	holder  *Tracker
 	epoch   uint64
 	up      bool
 	target  *worldTarget
@@ -157,7 +157,7 @@
 	w := &world{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: 24 * clock.Hour,
 		cut: map[[2]netip.AddrPort]bool{}, allowed: map[string]bool{},
-		objects: map[string]*worldObject{},
+		objects: map[string]*simObject{},
 		orders:  []evacuation.Snapshot{evacuation.New(1, nil)}, evacuated: map[string]clock.Millis{},
 	}
 	w.setTable(1, "one")
@@ -285,7 +285,7 @@
 		w.after(20, tick)
 	}
 	w.after(1, tick)
-	w.keeps(b)
+	w.runKeeper(b)
 }
 
 // summarize stands in for the relays: each balancer tells those of other failure domains
@@ -299,8 +299,8 @@
 		b.number++
 		parts = b.steerer.Summary(w.now, uint64(b.born), b.number, false)
 		w.repeatOrders(b)
-	case b.steerer.HasNews():
-		parts = b.steerer.News(w.now, false)
+	case b.steerer.HasChanges():
+		parts = b.steerer.Changes(w.now, false)
 	}
 	for _, other := range w.balancers {
 		if other.domain == b.domain {
@@ -310,7 +310,7 @@
 			p = copyParcel(&wire.Parcel{Summary: p}).Summary
 			w.network(b.address, other.address, func() {
 				if other.up {
-					other.steerer.HearSummary(w.now, p)
+					other.steerer.HandleSummary(w.now, p)
 					w.flushBalancer(other)
 				}
 			})
@@ -325,7 +325,7 @@
 	for _, other := range w.balancers {
 		w.network(b.address, other.address, func() {
 			if other.up {
-				other.steerer.TakeEvacuations(w.now, s)
+				other.steerer.UpdateEvacuations(w.now, s)
 				w.flushBalancer(other)
 			}
 		})
@@ -338,7 +338,7 @@
 	all := w.now.Sub(b.born) > 700
 	for _, a := range w.agents {
 		t, ok := b.steerer.Targets.Find(a.address)
-		if a.up && !a.holder.Gone() && (!ok || t.Heard == 0) {
+		if a.up && !a.holder.Gone() && (!ok || t.HeardAt == 0) {
 			all = false
 		}
 	}
@@ -370,7 +370,7 @@
 		}
 		w.network(b.address, relay.address, func() {
 			if relay.up {
-				relay.steerer.HandOn(w.now, b.address, p)
+				relay.steerer.RelayQuestions(w.now, b.address, p)
 				w.flushBalancer(relay)
 			}
 		})
@@ -383,7 +383,7 @@
 			if !a.up {
 				return
 			}
-			a.holder.Hear(w.now, b.address, p, carried(p))
+			a.holder.HandleParcel(w.now, b.address, p, carried(p))
 			w.flushAgent(a)
 		})
 	}
--- a/internal/process/streamagent/agent.go
+++ b/internal/process/streamagent/agent.go
@@ -107,7 +107,7 @@
 	outbound *net.UDPConn
 
 	mu        sync.Mutex
-	holder    *stream.Holder
+	holder    *stream.Tracker
 	record    *decisions.Recorder
 	balancers *Balancers
 	// kept is when a balancer that keeps checkpoints has probed last; zero if none did.
@@ -136,10 +136,10 @@
 		traffic: parcels.NewTraffic(deps.Log, deps.Scope),
 		served:  deps.Scope.Histogram("served", decisions.Buckets),
 	}
-	a.holder = stream.NewHolder(now, stream.HolderSettings{
+	a.holder = stream.NewTracker(now, stream.TrackerSettings{
 		Name: settings.Name, Domain: settings.Domain, Service: settings.Service,
-		Epoch: uint64(time.Now().UnixMilli()), Port: settings.Parcels.Port(), Flows: mostFlows,
-		FlowLife: settings.FlowLife, Heartbeat: settings.Heartbeat, SilentAfter: missedBeats * settings.Heartbeat,
+		Epoch: uint64(time.Now().UnixMilli()), Port: settings.Parcels.Port(), MaxFlows: mostFlows,
+		FlowTTL: settings.FlowLife, Heartbeat: settings.Heartbeat, HeartbeatTimeout: missedBeats * settings.Heartbeat,
 		Checkpoint: deps.Checkpoints != nil,
 	})
 	a.balancers.Learn(now, settings.Seeds, "")
@@ -185,7 +185,7 @@
 	if p.Verb == wire.Verb_VERB_PROBE && p.Report != nil {
 		a.probe(now, from, p.Report)
 	}
-	a.holder.Hear(now, from, p, seg)
+	a.holder.HandleParcel(now, from, p, seg)
 	a.flush()
 }
 
@@ -211,7 +211,7 @@
 	parcels.Packets(a.outbound, a.deps.Codec, unreadable, func(seg *segment.Segment, packet []byte) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.holder.FromTarget(a.deps.Clock.Now(), seg, packet)
+		a.holder.HandleTargetPacket(a.deps.Clock.Now(), seg, packet)
 		a.flush()
 	})
 }
@@ -219,8 +219,8 @@
 // flush does what was decided, and tells the balancers if the target's condition
 // has changed. The lock is held: packets of one flow stay in order.
 func (a *Agent) flush() {
-	if now := a.deps.Clock.Now(); a.holder.Turned(now) {
-		a.holder.Tell(now, a.balancers.All(now))
+	if now := a.deps.Clock.Now(); a.holder.ConditionChanged(now) {
+		a.holder.SendReport(now, a.balancers.All(now))
 	}
 	out := a.holder.Take()
 	for _, d := range out.Deliveries {
@@ -276,13 +276,13 @@
 
 // Beat takes a heartbeat. What it changes is told to the balancers; the gate for
 // new flows is closed before it returns.
-func (a *Agent) Beat(b stream.Beat) error {
+func (a *Agent) Beat(b stream.Heartbeat) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if b.Service != a.settings.Service {
 		return errs.New("streamagent: heartbeat of service %q, not %q", b.Service, a.settings.Service)
 	}
-	a.holder.Beat(a.deps.Clock.Now(), b)
+	a.holder.HandleHeartbeat(a.deps.Clock.Now(), b)
 	a.flush()
 	return nil
 }
@@ -291,7 +291,7 @@
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.holder.Leave(a.deps.Clock.Now())
+	a.holder.RecordLeave(a.deps.Clock.Now())
 	a.flush()
 }
 
@@ -308,8 +308,8 @@
 		a.mu.Lock()
 		now := a.deps.Clock.Now()
 		a.holder.Tick(now)
-		a.holder.Tell(now, a.balancers.Due(now, a.holder.Loaded()))
-		doubts := a.holder.Doubts(now)
+		a.holder.SendReport(now, a.balancers.Due(now, a.holder.Loaded()))
+		doubts := a.holder.DialDue(now)
 		a.flush()
 		a.traffic.Tell(now, false)
 		a.mu.Unlock()
@@ -336,7 +336,7 @@
 	a.mu.Lock()
 	now := a.deps.Clock.Now()
 	a.holder.Stop(now)
-	a.holder.Tell(now, a.balancers.All(now))
+	a.holder.SendReport(now, a.balancers.All(now))
 	a.flush()
 	a.traffic.Tell(now, true)
 	left, flows := a.holder.Gone(), a.holder.Flows()
--- a/internal/process/streamagent/agent_test.go
+++ b/internal/process/streamagent/agent_test.go
@@ -22,7 +22,7 @@
 // slots are in use or not.
 func testAgent(t *testing.T, loaded bool) *Agent {
 	t.Helper()
-	h := stream.NewHolder(0, stream.HolderSettings{Domain: "a", Service: "one", Port: 7000, Flows: 100, FlowLife: clock.Minute})
+	h := stream.NewTracker(0, stream.TrackerSettings{Domain: "a", Service: "one", Port: 7000, MaxFlows: 100, FlowTTL: clock.Minute})
 	if loaded {
 		load(t, h)
 	}
@@ -33,14 +33,14 @@
 }
 
 // load gives the target requests that are under way for as long as its load is averaged.
-func load(t *testing.T, h *stream.Holder) {
+func load(t *testing.T, h *stream.Tracker) {
 	t.Helper()
-	h.Beat(testNow-2*clock.Second, stream.Beat{Service: "one", Slots: 1, Sequence: 1, Born: 1})
+	h.HandleHeartbeat(testNow-2*clock.Second, stream.Heartbeat{Service: "one", Slots: 1, Sequence: 1, Born: 1})
 	for i := range 4 {
 		caller := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), uint16(1000+i))
 		seg := &segment.Segment{Source: caller, Destination: netip.MustParseAddrPort("198.18.0.1:443"), Size: 100}
-		h.FromTarget(testNow-2*clock.Second, &segment.Segment{Source: seg.Destination, Destination: caller}, nil)
-		h.Hear(testNow-2*clock.Second, testBalancer(0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: []byte{1}}, seg)
+		h.HandleTargetPacket(testNow-2*clock.Second, &segment.Segment{Source: seg.Destination, Destination: caller}, nil)
+		h.HandleParcel(testNow-2*clock.Second, testBalancer(0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: []byte{1}}, seg)
 	}
 	for at := testNow - 2*clock.Second; at < testNow; at += 50 {
 		h.Tick(at)
--- a/internal/process/streamagent/balancers.go
+++ b/internal/process/streamagent/balancers.go
@@ -144,11 +144,11 @@
 	case near && !b.met && first:
 		return tellFirst, true
 	case !b.met && first:
-		return min(max(2*b.pause, tellFirst), stream.ReportEvery), true
+		return min(max(2*b.pause, tellFirst), stream.ReportInterval), true
 	case loaded:
 		return tellLoaded, true
 	default:
-		return stream.ReportEvery, true
+		return stream.ReportInterval, true
 	}
 }
 
@@ -192,7 +192,7 @@
 		}
 	}
 	turns := clock.Millis(max(near, leastTurns))
-	if !longest.IsValid() || now.Sub(bs.turn) < stream.ReportEvery/turns {
+	if !longest.IsValid() || now.Sub(bs.turn) < stream.ReportInterval/turns {
 		return netip.AddrPort{}, false
 	}
 	bs.turn = now
--- a/internal/process/streamagent/look.go
+++ b/internal/process/streamagent/look.go
@@ -20,11 +20,11 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.holder.Checked(a.deps.Clock.Now(), found)
+	a.holder.RecordDial(a.deps.Clock.Now(), found)
 	a.flush()
 }
 
-func (a *Agent) dial(ctx context.Context) (stream.Look, error) {
+func (a *Agent) dial(ctx context.Context) (stream.DialResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp4", a.settings.Target.String())
--- a/internal/process/streambalancer/agreement.go
+++ b/internal/process/streambalancer/agreement.go
@@ -20,7 +20,7 @@
 	// each agent, and the time until the others are told. Where there are others, agents
 	// tell them in turn, three reports are waited for, and leastStart at least: agents may
 	// start a little later than balancers.
-	aloneStart = 2*stream.ReportEvery + tellTime
+	aloneStart = 2*stream.ReportInterval + tellTime
 	leastStart = clock.Second
 	tellTime   = 200 * clock.Millis(1)
 	// unheardStart is how long if a failure domain has no balancer that tells of its
@@ -160,7 +160,7 @@
 	}
 	slices.Sort(from)
 	for i, at := range from {
-		wait := 3*stream.ReportEvery/clock.Millis(i+1) + tellTime
+		wait := 3*stream.ReportInterval/clock.Millis(i+1) + tellTime
 		if now.Sub(at) > max(wait, leastStart) {
 			return true
 		}
--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -280,7 +280,7 @@
 	case wire.Verb_VERB_SUMMARY:
 		b.hearSummary(now, from, p.Summary)
 	case wire.Verb_VERB_ASK:
-		if !b.steerer.HandOn(now, from, p) {
+		if !b.steerer.RelayQuestions(now, from, p) {
 			b.refused.Inc(1)
 		}
 	default:
--- a/internal/process/streambalancer/evacuations.go
+++ b/internal/process/streambalancer/evacuations.go
@@ -93,7 +93,7 @@
 // The lock is held.
 func (b *Balancer) applyEvacuations(now clock.Millis, s evacuation.Snapshot, from string) {
 	before := b.steerer.Evacuations()
-	changed := b.steerer.TakeEvacuations(now, s)
+	changed := b.steerer.UpdateEvacuations(now, s)
 	if b.steerer.Evacuations().Revision != before.Revision {
 		b.ordered = now
 	}
--- a/internal/process/streambalancer/fleet_test.go
+++ b/internal/process/streambalancer/fleet_test.go
@@ -68,7 +68,7 @@
 	// busy is until when it works on what has arrived.
 	busy     float64
 	balancer *Balancer
-	holder   *stream.Holder
+	holder   *stream.Tracker
 	clock    *clock.Manual
 	// told are the balancers that an agent reports to.
 	told    *streamagent.Balancers
@@ -180,7 +180,7 @@
 	if p.Verb == wire.Verb_VERB_PROBE {
 		to.told.Probed(now, from, p.Report.Domain)
 	}
-	to.holder.Hear(now, from, p, nil)
+	to.holder.HandleParcel(now, from, p, nil)
 	f.flush(to)
 }
 
@@ -260,7 +260,7 @@
 		if s.holder == nil {
 			continue
 		}
-		if t, ok := b.steerer.Targets.Find(s.address); !ok || t.Heard == 0 {
+		if t, ok := b.steerer.Targets.Find(s.address); !ok || t.HeardAt == 0 {
 			n++
 		}
 	}
@@ -299,7 +299,7 @@
 		}
 		now := f.tick(s)
 		// Callers open flows all the while.
-		b.steerer.Targets.Choose(now, stream.Demand{Service: "one"})
+		b.steerer.Targets.Choose(now, stream.PlacementRequest{Service: "one"})
 		pause := b.step()
 		if s.settled == 0 && b.settled {
 			s.settled = f.now - s.start
@@ -313,11 +313,11 @@
 // startAgent tells balancers of its failure domain as agents do, until they probe it.
 func (f *returning) startAgent(s *station, i, balancers int) {
 	now := f.tick(s)
-	s.holder = stream.NewHolder(now, stream.HolderSettings{
+	s.holder = stream.NewTracker(now, stream.TrackerSettings{
 		Name: fmt.Sprintf("side-place-%s-%d", s.domain, i), Domain: s.domain, Service: "one", Epoch: uint64(s.start) + 1,
-		Port: 7000, Flows: 100, FlowLife: clock.Minute, Heartbeat: 1200, SilentAfter: 3600,
+		Port: 7000, MaxFlows: 100, FlowTTL: clock.Minute, Heartbeat: 1200, HeartbeatTimeout: 3600,
 	})
-	s.holder.Beat(now, stream.Beat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
+	s.holder.HandleHeartbeat(now, stream.Heartbeat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
 	s.told = streamagent.NewBalancers(now, s.domain)
 	f.after(60_000, func() {
 		for j := range balancers {
@@ -329,7 +329,7 @@
 	var step func()
 	step = func() {
 		now := f.tick(s)
-		s.holder.Tell(now, s.told.Due(now, s.holder.Loaded()))
+		s.holder.SendReport(now, s.told.Due(now, s.holder.Loaded()))
 		s.holder.Tick(now)
 		f.flush(s)
 		f.after(50_000, step)
--- a/internal/process/streambalancer/keep.go
+++ b/internal/process/streambalancer/keep.go
@@ -121,7 +121,7 @@
 func (b *Balancer) writeSheets(ctx context.Context) {
 	b.mu.Lock()
 	now := b.deps.Clock.Now()
-	b.keeper.Drop(func(agent netip.AddrPort) bool { return b.steerer.Targets.Left(now, agent) })
+	b.keeper.Drop(func(agent netip.AddrPort) bool { return b.steerer.Targets.RecentlyLeft(now, agent) })
 	b.keeper.SetDomains(b.peers.Domains(now))
 	due := b.keeper.Due(now)
 	b.mu.Unlock()
--- a/internal/process/streambalancer/news.go
+++ b/internal/process/streambalancer/news.go
@@ -52,7 +52,7 @@
 func (b *Balancer) contacts(each func(a netip.AddrPort, c func() *wire.Contact)) {
 	now := b.deps.Clock.Now()
 	b.steerer.Targets.Each(func(t *stream.Target) {
-		if t.Heard != 0 && !t.Lost(now) {
+		if t.HeardAt != 0 && !t.Lost(now) {
 			each(t.Address, func() *wire.Contact { return contact(t.Address, t.Name, t.Domain, t.Service) })
 		}
 	})
@@ -78,7 +78,7 @@
 	now := b.deps.Clock.Now()
 	v := View{}
 	b.steerer.Targets.Each(func(t *stream.Target) {
-		if t.Heard == 0 {
+		if t.HeardAt == 0 {
 			return
 		}
 		h := hash(t.Address)
@@ -102,7 +102,7 @@
 	b.setSettled(b.peers.Settled(now, digest, func(domain string) bool {
 		return b.steerer.Targets.Complete(now, domain)
 	}))
-	b.steerer.Targets.SetSharers(len(b.peers.Near(now)) + 1)
+	b.steerer.Targets.SetBalancers(len(b.peers.Near(now)) + 1)
 	for _, p := range b.peers.Due(now) {
 		n := b.news(view, p.Address)
 		if p.Heard == 0 && b.peers.mayAsk(now, p) {
--- a/internal/process/streambalancer/relays_test.go
+++ b/internal/process/streambalancer/relays_test.go
@@ -237,7 +237,7 @@
 		for _, s := range f.all[size.domains:size.balancers] {
 			far := 0
 			s.balancer.steerer.Targets.Each(func(target *stream.Target) {
-				if target.Domain != s.domain && target.Opens(s.clock.Now()) {
+				if target.Domain != s.domain && target.AcceptsFlows(s.clock.Now()) {
 					far++
 				}
 			})
--- a/internal/process/streambalancer/return_test.go
+++ b/internal/process/streambalancer/return_test.go
@@ -93,14 +93,14 @@
 	f.run(leaves)
 	s := f.all[size.balancers]
 	now := f.tick(s)
-	s.holder.Leave(now)
+	s.holder.RecordLeave(now)
 	var to []netip.AddrPort
 	for j := range size.balancers {
 		if f.stations[peerAddress(j)].domain == s.domain {
 			to = append(to, peerAddress(j))
 		}
 	}
-	s.holder.Tell(now, to)
+	s.holder.SendReport(now, to)
 	f.flush(s)
 	f.run(leaves + 50_000)
 	for _, b := range f.all[:size.balancers] {
--- a/internal/process/streambalancer/summaries.go
+++ b/internal/process/streambalancer/summaries.go
@@ -37,10 +37,10 @@
 		b.sendSummaries(now, place, b.steerer.Summary(now, b.peers.self.Epoch, r.number, complete))
 	case now.Sub(r.loads) >= loadsEvery:
 		r.changed, r.loads = now, now
-		b.sendSummaries(now, place, b.steerer.News(now, true))
-	case b.steerer.HasNews() && now.Sub(r.changed) >= newsEvery:
+		b.sendSummaries(now, place, b.steerer.Changes(now, true))
+	case b.steerer.HasChanges() && now.Sub(r.changed) >= newsEvery:
 		r.changed = now
-		b.sendSummaries(now, place, b.steerer.News(now, false))
+		b.sendSummaries(now, place, b.steerer.Changes(now, false))
 	}
 }
 
@@ -74,5 +74,5 @@
 			}
 		}
 	}
-	b.steerer.HearSummary(now, m)
+	b.steerer.HandleSummary(now, m)
 }
--- a/internal/process/streambalancer/tick.go
+++ b/internal/process/streambalancer/tick.go
@@ -62,7 +62,7 @@
 // of other failure domains.
 func (b *Balancer) noteTargets(now clock.Millis) {
 	answering, all := b.steerer.Targets.Answering(now)
-	far, age := b.steerer.Targets.FarAge(now)
+	far, age := b.steerer.Targets.RemoteAge(now)
 	b.deps.Scope.Gauge("targets").Update(float64(all))
 	b.deps.Scope.Gauge("targets_far_age_ms").Update(float64(age))
 	if b.deps.Orders != nil {
