--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -35,8 +35,8 @@
 	}
 	w.after(1, tick)
 	w.restoreCheckpoint(a)
-	var tell func()
-	tell = func() {
+	var report func()
+	report = func() {
 		if a.holder != tr || !a.up {
 			return
 		}
@@ -46,9 +46,9 @@
 		}
 		tr.SendReport(w.now, all)
 		w.flushAgent(a)
-		w.after(500, tell)
+		w.after(500, report)
 	}
-	w.after(2, tell)
+	w.after(2, report)
 }
 
 func (w *world) flushAgent(a *worldAgent) {
@@ -99,8 +99,8 @@
 func (w *world) startTarget(a *worldAgent) {
 	t := &worldTarget{born: uint64(w.now), alive: true, flows: map[segment.Flow]*worldEnd{}}
 	a.target = t
-	var beat func()
-	beat = func() {
+	var heartbeat func()
+	heartbeat = func() {
 		if !t.alive || a.target != t {
 			return
 		}
@@ -114,15 +114,15 @@
 				t.acked = w.now
 			}
 			w.flushAgent(a)
-			w.after(worldBeat, beat)
+			w.after(worldBeat, heartbeat)
 			return
 		}
-		w.after(100, beat)
+		w.after(100, heartbeat)
 	}
-	w.after(clock.Millis(1+w.random.IntN(100)), beat)
+	w.after(clock.Millis(1+w.random.IntN(100)), heartbeat)
 }
 
-// targetTakes is the target's end of the protocol.
+// targetReceives implements the target's side of the protocol.
 func (w *world) targetReceives(a *worldAgent, packet []byte) {
 	t := a.target
 	if t == nil || !t.alive {
--- a/internal/connection/stream/candidates.go
+++ b/internal/connection/stream/candidates.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// candidate is a target for a new flow: its cost, and by how much a flow raises it.
+// candidate is a target for a new flow with its cost and the increase in cost per flow.
 type candidate struct {
 	target *Target
 	cost   float64
 	step   float64
-	// part is the target's part of the next flows.
+	// share is the target's share of the next flows.
 	share float64
 }
 
-// candidates are targets for a new flow, and the least cost among them.
+// candidates are the targets for a new flow and their minimum cost.
 type candidates struct {
 	all  []candidate
 	best float64
@@ -24,20 +24,20 @@
 	c.all = append(c.all, x)
 }
 
-// choose returns a target by a draw from 0 to 1, or false if there is none. sharers is how
-// many balancers place flows at these targets.
+// choose returns a random target, or false if there is none. draw is a random number from 0
+// to 1, balancers the number of balancers that place flows at these targets.
 //
-// They know the same loads for a while, and none knows what the others place. If each took
-// the least loaded one, a hundred flows would go to the target that had room when it was
-// asked, and its queue would overflow beside idle ones. So each takes for granted that the
-// others place a flow as well, and draws its own target from how those flows together
-// would best be divided. What the others are expected to have placed counts until the
-// targets report.
-func (c *candidates) choose(draw, sharers float64) (*Target, bool) {
+// All balancers know the same loads for a while, and none knows what the others place. If
+// each took the least loaded target, a hundred flows could go to one target that just had
+// room, and its queue would overflow beside idle targets. Each balancer therefore assumes
+// that every other one places a flow as well, computes the best distribution of these
+// flows, and draws its own target from it. The flows expected from the others count as
+// placed until the targets report.
+func (c *candidates) choose(draw, balancers float64) (*Target, bool) {
 	if len(c.all) == 0 {
 		return nil, false
 	}
-	total := c.divide(sharers)
+	total := c.divide(balancers)
 	chosen := c.all[len(c.all)-1].target
 	left := draw * total
 	for i := range c.all {
@@ -46,15 +46,15 @@
 			chosen = x.target
 		}
 		left -= x.share
-		x.target.placed += (sharers - 1) * x.share / total
+		x.target.placed += (balancers - 1) * x.share / total
 	}
 	chosen.placed++
 	return chosen, true
 }
 
-// divide gives each target its part of a number of flows, so that all that get any are
-// equally loaded afterwards, and returns the sum of the parts. Targets that cost about the
-// least are taken for alike.
+// divide computes each target's share of a number of flows such that all targets with a
+// share end up equally loaded, and returns the sum of the shares. Targets within
+// equalCostMargin of the minimum cost count as equal.
 func (c *candidates) divide(flows float64) float64 {
 	level := max(c.fillLevel(flows), c.best+equalCostMargin)
 	total := 0.0
@@ -66,8 +66,9 @@
 	return total
 }
 
-// level is the cost up to which a number of flows fills the targets. Those above it get none,
-// and the others share what they would have got: each round leaves some out, or is the last.
+// fillLevel returns the cost up to which a number of flows fills the targets
+// (water-filling). Targets above it get no flows, and their flows go to the others: each
+// round excludes some targets or is the last one.
 func (c *candidates) fillLevel(flows float64) float64 {
 	level := math.Inf(1)
 	for range c.all {
--- a/internal/connection/stream/choose.go
+++ b/internal/connection/stream/choose.go
@@ -5,29 +5,29 @@
 )
 
 const (
-	// coldFactor is how much dearer a target is that has just started and
-	// works slower for some seconds.
+	// coldCostFactor multiplies the cost of a target that has just started and is slower
+	// for some seconds.
 	coldCostFactor = 1.6
-	// overload is the part of its slots in use from which a target answers
-	// noticeably later, and crossing by how much less a target elsewhere must be
-	// loaded for a flow to leave its failure domain. Packets between domains are
-	// paid for by the byte for as long as the flow lives, so a flow goes out only
-	// where its own domain is overloaded and another one clearly is not.
+	// overloadThreshold is the fraction of a target's slots in use above which its latency
+	// rises noticeably. crossDomainMargin is how much lower the load of a remote target
+	// must be for a flow to leave its failure domain. Traffic between domains is billed by
+	// the byte for the lifetime of the flow, so a flow leaves only if its own domain is
+	// overloaded and another one clearly is not.
 	overloadThreshold = 0.9
 	crossDomainMargin = 0.3
-	// evenly is by how much the costs of targets may differ that are taken for alike:
-	// what is known of their load is no more exact.
+	// equalCostMargin is the difference in cost below which targets count as equal; their
+	// load is not known more precisely.
 	equalCostMargin = 0.05
-	// leastFlowLoad is what a flow counts for where no requests were seen yet,
-	// in requests under way.
+	// minFlowLoad is the assumed load of a flow, in requests in progress, where no requests
+	// have been seen yet.
 	minFlowLoad = 0.01
 	// busyScale is the unit of the load in reports: hundredths of a request.
 	busyScale = 100
 )
 
-// flowLoad is how many requests a flow has under way on the mean over a service's targets:
-// an open one, and one that has just been opened, until its target reports. The latter's
-// caller has a request at once, and may have the next one much later.
+// flowLoad is the mean number of requests in progress per flow over a service's targets:
+// for an open flow, and for a fresh one until its target reports. The caller of a fresh
+// flow sends a request at once and may send the next one much later.
 type flowLoad struct {
 	open, fresh float64
 }
@@ -54,14 +54,13 @@
 	return l
 }
 
-// cost compares targets for a new flow; lower is better. It is the part of the
-// target's slots that is in use.
+// cost returns the target's cost for a new flow, the fraction of its slots in use; lower is
+// better.
 //
-// What is under way at a target says how busy it is, but it varies by chance and
-// is known late; what its flows need on the mean is steady, but does not show
-// that a target has become slow. The mean of both is taken. Flows that were
-// placed since the last report count as well, so that a burst does not go to the
-// one target that looked idle.
+// The number of requests in progress shows how busy a target is, but varies by chance and
+// is known late. The expected load of its flows is steady, but does not show that a target
+// has become slow. The cost uses the mean of both. Flows placed since the last report count
+// as well, so that a burst does not all go to the one target that looked idle.
 func (ts *Targets) cost(now clock.Millis, t *Target, l flowLoad) float64 {
 	expected := l.open * float64(t.Flows)
 	c := (expected+t.Busy)/2 + l.fresh*(t.placed+t.placedBefore)
@@ -72,7 +71,7 @@
 	return c
 }
 
-// step is by how much a new flow raises the target's cost.
+// costStep returns how much a new flow raises the target's cost.
 func (t *Target) costStep(now clock.Millis, l flowLoad) float64 {
 	s := l.fresh / float64(max(t.Slots, 1))
 	if now < t.ColdUntil {
@@ -81,10 +80,10 @@
 	return s
 }
 
-// mostFail reports that more of a service's targets fail than are ready.
+// mostFailing reports whether more of a service's targets are failing than ready.
 //
-// Then the cause is something that all need, or one caller's requests; leaving them out
-// one by one would break the last ones down under all flows.
+// The cause is then something shared by all, or one caller's requests; ejecting the targets
+// one by one would overload the remaining ones.
 func mostFailing(now clock.Millis, targets []*Target) bool {
 	ready, fail := 0, 0
 	for _, t := range targets {
@@ -98,32 +97,31 @@
 	return fail > ready
 }
 
-// ready reports whether there is a target for a new flow.
-func (ts *Targets) hasUsable(now clock.Millis, d *PlacementRequest) bool {
-	for _, t := range ts.useService(now, d.Service) {
-		if ts.usable(now, t, d, true) {
+// hasUsable reports whether there is a target for a new flow.
+func (ts *Targets) hasUsable(now clock.Millis, req *PlacementRequest) bool {
+	for _, t := range ts.useService(now, req.Service) {
+		if ts.usable(now, t, req, true) {
 			return true
 		}
 	}
 	return false
 }
 
-// Choose returns the target for a new flow that was not tried yet: one of the least
-// loaded ones of the balancer's own failure domain, unless that is overloaded and one
-// elsewhere is not. Targets that are suspected, not known to be ready or where the flow
-// may not be opened are left out, and so are those that fail while others do not; with
-// none left, the result is false.
+// Choose returns a target for a new flow, or false if there is none: one of the least
+// loaded targets of the balancer's own failure domain, unless that is overloaded and a
+// remote one is not. It skips targets that were already tried, are suspected or not known
+// to be ready, or must not get the flow, and failing ones unless most are failing.
 //
-// What was placed at home since the last reports counts elsewhere too: when all callers
-// come back at once, other balancers place as many at theirs.
-func (ts *Targets) Choose(now clock.Millis, d PlacementRequest) (*Target, bool) {
+// Flows placed locally since the last reports also count against remote targets: when all
+// callers reconnect at once, remote balancers place as many flows there.
+func (ts *Targets) Choose(now clock.Millis, req PlacementRequest) (*Target, bool) {
 	near, far := candidates{all: ts.near[:0]}, candidates{all: ts.far[:0]}
-	targets := ts.useService(now, d.Service)
+	targets := ts.useService(now, req.Service)
 	l := flowLoads(targets)
-	all := mostFailing(now, targets)
+	useFailing := mostFailing(now, targets)
 	placed := 0.0
 	for _, t := range targets {
-		if !ts.usable(now, t, &d, all) {
+		if !ts.usable(now, t, &req, useFailing) {
 			continue
 		}
 		c := candidate{target: t, cost: ts.cost(now, t, l), step: t.costStep(now, l)}
--- a/internal/connection/stream/choose_test.go
+++ b/internal/connection/stream/choose_test.go
@@ -13,7 +13,7 @@
 
 const testNow = 24 * clock.Hour
 
-// load is a target's report, as its agent would send it.
+// targetLoad is the load in a target's report.
 type targetLoad struct {
 	domain string
 	flows  int
@@ -21,8 +21,8 @@
 	cold   uint32
 }
 
-// loaded returns targets of one service with these loads, in a balancer of the
-// failure domain "a". Targets have four slots.
+// newLoadedTargets returns targets of one service with these loads, for a balancer in
+// failure domain "a". Each target has four slots.
 func newLoadedTargets(loads ...targetLoad) *Targets {
 	ts := NewTargets("a", nil, 1)
 	for i, l := range loads {
@@ -35,7 +35,7 @@
 	return ts
 }
 
-// place chooses for that many openings and counts them by target.
+// placeOpenings chooses targets for a number of openings and returns the count per target.
 func placeOpenings(ts *Targets, openings int) []int {
 	counts := make([]int, ts.Len())
 	for range openings {
@@ -52,18 +52,18 @@
 	return counts
 }
 
-// A burst arrives between two reports. One target looked idle a moment ago; it
-// must not get all of it.
+// Guards against a burst between two reports going entirely to the one target that was idle
+// at the last report.
 func TestChooseBurst(t *testing.T) {
 	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 30, 1.2, 0}, targetLoad{"a", 30, 1.2, 0}, targetLoad{"a", 24, 0.9, 0}), 90)
 	if counts[2] < 30 || counts[2] > 45 || counts[0] < 20 || counts[1] < 20 {
-		t.Errorf("90 openings went %v", counts)
+		t.Errorf("distribution of 90 openings: %v", counts)
 	}
 }
 
-// Twenty balancers know the same loads of nine targets, all of which have room, and get
-// three openings each before they hear more. The flows must not all go to the one target
-// that looked best a moment ago, whose queue would overflow beside idle ones.
+// Twenty balancers know the same loads of nine targets with room and place three openings
+// each before the next reports. The flows must not all go to the target that looked best,
+// whose queue would overflow beside idle targets.
 func TestChooseSpreadsAcrossBalancers(t *testing.T) {
 	total := make([]int, 9)
 	for seed := range uint64(20) {
@@ -78,23 +78,23 @@
 		}
 	}
 	if most := slices.Max(total); most > 14 {
-		t.Errorf("60 openings of twenty balancers went %v", total)
+		t.Errorf("distribution of 60 openings of twenty balancers: %v", total)
 	}
 }
 
-// All callers come back at once, in every failure domain. What this balancer has
-// placed at home since the last reports must not send the rest elsewhere, where
-// others place as many.
+// All callers reconnect at once in every failure domain. The flows that this balancer has
+// placed locally since the last reports must not send the rest to other domains, where
+// balancers place as many.
 func TestChooseBurstStaysInDomain(t *testing.T) {
 	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 2, 1, 0}, targetLoad{"a", 2, 1, 0}, targetLoad{"b", 2, 1, 0}, targetLoad{"b", 2, 1, 0}), 400)
 	if counts[2]+counts[3] > 0 {
-		t.Errorf("of 400 openings some left the failure domain: %v", counts)
+		t.Errorf("some of 400 openings left the failure domain: %v", counts)
 	}
 }
 
-// The targets at home have every slot in use and a queue, those elsewhere are
-// half idle: new flows go out, for a request would wait longer at home than the
-// way takes.
+// The local targets have all slots in use and a queue, the remote ones are half idle. New
+// flows go to the remote domain, since a request would wait longer locally than the extra
+// distance takes.
 func TestChooseLeavesOverload(t *testing.T) {
 	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 90, 5, 0}, targetLoad{"a", 90, 5, 0}, targetLoad{"b", 40, 1.5, 0}), 20)
 	if counts[2] < 15 {
@@ -102,12 +102,12 @@
 	}
 	counts = placeOpenings(newLoadedTargets(targetLoad{"a", 60, 2.6, 0}, targetLoad{"a", 60, 2.6, 0}, targetLoad{"b", 5, 0.2, 0}), 20)
 	if counts[2] > 0 {
-		t.Errorf("%d of 20 openings left a failure domain that is busy but well", counts[2])
+		t.Errorf("%d of 20 openings left a failure domain that is busy but not overloaded", counts[2])
 	}
 }
 
-// A target has become slow: it has as many flows as the others, but their requests
-// pile up. It gets fewer of the next flows.
+// A slow target has as many flows as the others, but more requests in progress. It gets
+// fewer of the next flows.
 func TestChooseAvoidsSlow(t *testing.T) {
 	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 30, 3.6, 0}, targetLoad{"a", 30, 0.9, 0}, targetLoad{"a", 30, 0.9, 0}), 30)
 	if counts[0] > 2 {
@@ -115,8 +115,8 @@
 	}
 }
 
-// A target that has just started works slower for a while; it is empty, and still
-// must not get the whole burst.
+// A target that has just started is slower for a while. It must not get a whole burst
+// although it is empty.
 func TestChooseCold(t *testing.T) {
 	counts := placeOpenings(newLoadedTargets(targetLoad{"a", 30, 1, 0}, targetLoad{"a", 30, 1, 0}, targetLoad{"a", 0, 0, 2000}), 60)
 	if counts[2] < 20 || counts[2] > 50 {
@@ -124,8 +124,8 @@
 	}
 }
 
-// A target was tried already, or is suspected, draining, restarting or not known
-// to be ready: it gets no opening.
+// A target gets no opening if it was already tried, is suspected, draining or restarting,
+// or is not known to be ready.
 func TestChooseSkipsUnusable(t *testing.T) {
 	ts := newLoadedTargets(targetLoad{"a", 0, 0, 0}, targetLoad{"a", 0, 0, 0})
 	first, second := worldAddress(2, 0), worldAddress(2, 1)
@@ -147,21 +147,21 @@
 	}
 }
 
-// The balancer stands still for seconds while all targets are well. When it goes
-// on, none counts as lost, or their flows would be reset.
+// The balancer is paused for seconds while all targets are healthy. Afterwards none may
+// count as lost, or their flows would be reset.
 func TestPausedBalancerLosesNoTargets(t *testing.T) {
 	ts := newLoadedTargets(targetLoad{"a", 0, 0, 0})
 	ts.DueProbes(testNow)
 	later := testNow + 10*clock.Second
 	ts.DueProbes(later)
 	if target, _ := ts.Find(worldAddress(2, 0)); target.Lost(later) {
-		t.Error("a target counts as lost after the balancer's own pause")
+		t.Error("target counts as lost after a pause of the balancer")
 	}
 }
 
-// An agent whose target has no process is stopped for good, with its VM. It says
-// so, and balancers do not wait for its word about any flow; an agent that is only
-// restarted is waited for, but not for ever.
+// An agent without a target process is stopped for good, together with its VM. It reports
+// that, so that balancers do not wait for its answer on any flow. They do wait for an agent
+// that only restarts, but for a bounded time.
 func TestStopWithoutTarget(t *testing.T) {
 	tr := NewTracker(testNow, TrackerSettings{Service: "one", Heartbeat: 1200, HeartbeatTimeout: 3600, MaxFlows: 10, Epoch: 1})
 	for range minFailedDials {
@@ -171,7 +171,7 @@
 	balancer := worldAddress(1, 0)
 	tr.SendReport(testNow+1001, []netip.AddrPort{balancer})
 	if r := tr.Take().Sends[0].Parcel.Report; r.Condition != wire.Condition_CONDITION_GONE {
-		t.Errorf("an agent without a target stops as %v", r.Condition)
+		t.Errorf("condition reported by a stopping agent without a target: %v", r.Condition)
 	}
 	ts := newLoadedTargets(targetLoad{"a", 0, 0, 0})
 	target, _ := ts.Find(worldAddress(2, 0))
@@ -182,15 +182,15 @@
 		ts.DueProbes(at)
 	}
 	if target.Lost(testNow + lostAfter + 500) {
-		t.Error("an agent that restarts counts as lost at once")
+		t.Error("restarting agent counts as lost too early")
 	}
 	if !target.Lost(testNow + 10*clock.Second) {
-		t.Error("an agent that does not come back is waited for")
+		t.Error("agent that does not come back does not count as lost")
 	}
 }
 
-// Strangers report targets from ever new addresses, and balancers name others. As
-// many are known as there may be, and no more.
+// Unknown senders report targets from ever new addresses, and balancers name others. The
+// number of known targets stays bounded.
 func TestTargetsAreBounded(t *testing.T) {
 	ts := NewTargets("a", nil, 1)
 	for i := range 3 * maxTargets {
@@ -205,11 +205,11 @@
 	}
 }
 
-// A target becomes ready a second after all others, when these are busy. Each balancer sees
-// one idle target and has a few openings before it hears more: together they must not send
-// it more than makes it as busy as the others, however many they are.
+// A target becomes ready a second after all others, which are busy. Each balancer sees one
+// idle target and places a few openings before the next report. Together they must not make
+// it busier than the others, however many balancers there are.
 func TestChooseIdleTargetAmongBusyOnes(t *testing.T) {
-	// Twenty flows make it as busy as the others, and a ninth of the rest is its part.
+	// Twenty flows make it as busy as the others; its share of the rest is a ninth.
 	const most = 20 + 9 + 5
 	for _, balancers := range []int{2, 6, 19, 91} {
 		total := 0
@@ -229,14 +229,15 @@
 	}
 }
 
-// Reports tell any load, also one that no target has: a choice is made, and soon.
+// A report may contain any load, even an impossible one. Choosing a target must still
+// succeed, and quickly.
 func TestChooseAnyLoad(t *testing.T) {
 	for _, busy := range []float64{0, 1, 1e3, 4e7} {
-		for _, sharers := range []int{1, 19, 91} {
+		for _, balancers := range []int{1, 19, 91} {
 			ts := newLoadedTargets(targetLoad{"a", 0, busy, 0}, targetLoad{"a", 1 << 30, 0, 0}, targetLoad{"b", 3, busy, 2000})
-			ts.SetBalancers(sharers)
+			ts.SetBalancers(balancers)
 			if counts := placeOpenings(ts, 20); counts[0]+counts[1]+counts[2] != 20 {
-				t.Errorf("busy %g, %d balancers: 20 openings went %v", busy, sharers, counts)
+				t.Errorf("busy %g, %d balancers: distribution of 20 openings: %v", busy, balancers, counts)
 			}
 		}
 	}
--- a/internal/connection/stream/dial.go
+++ b/internal/connection/stream/dial.go
@@ -5,36 +5,35 @@
 )
 
 const (
-	// answerWithin is how long a target may take to answer or return an opening.
-	// It does so in less than a millisecond, unless it is short of processor time.
+	// openingTimeout is how long a target may take to accept or return an opening. It takes
+	// less than a millisecond unless it is short of CPU time.
 	openingTimeout = 150 * clock.Millis(1)
-	// checkEvery is the pause between two looks whether the target is there, and
-	// absences how many in a row must find nobody.
+	// dialInterval is the minimum interval between two dials to the target's address;
+	// minFailedDials failures in a row mean that no process listens there.
 	dialInterval   = 200 * clock.Millis(1)
 	minFailedDials = 2
-	// emptyBeats is for how many heartbeats an agent has waited for its target's
-	// first one when there is none.
+	// firstHeartbeatWait is the number of heartbeat intervals without a first heartbeat
+	// after which an agent may conclude that it has no target.
 	firstHeartbeatWait = 2
 )
 
-// Look is what was found at the target's address.
+// DialResult is the result of dialing the target's address.
 type DialResult int
 
-// Findings.
+// Results of a dial.
 const (
 	// Listening means that a process accepts connections.
 	Listening DialResult = iota
-	// Refusing means that the VM says that there is none.
+	// Refusing means that the VM refused the connection because no process listens.
 	Refusing
-	// Unanswered means that nobody said anything in time.
+	// Unanswered means that the dial timed out.
 	Unanswered
 )
 
-// Doubts reports that it is to be looked whether the target is there, and notes
-// that it is done.
+// DialDue reports whether to dial the target now, and counts the dial as made.
 //
-// A crashed process no longer listens, which its own VM says at once, long before its
-// heartbeats are missed.
+// When a process crashes, its VM refuses connections at once, long before missing
+// heartbeats are noticed.
 func (tr *Tracker) DialDue(now clock.Millis) bool {
 	u := &tr.upstream
 	silent := !u.known || now.Sub(u.lastHeartbeat) > tr.settings.Heartbeat+tr.settings.Heartbeat/2
@@ -46,7 +45,7 @@
 	return true
 }
 
-// Checked takes what a look has found.
+// RecordDial handles the result of a dial.
 func (tr *Tracker) RecordDial(now clock.Millis, found DialResult) {
 	u := &tr.upstream
 	before := u.down()
@@ -60,16 +59,16 @@
 		u.unansweredDials++
 	}
 	if !before && u.down() && u.known {
-		tr.out.note(Event{Kind: Upstream, Reason: "nobody listens", Service: tr.settings.Service, Age: now.Sub(u.lastSeen)})
+		tr.out.note(Event{Kind: Upstream, Reason: "no process listens", Service: tr.settings.Service, Age: now.Sub(u.lastSeen)})
 		tr.resetFlowsBefore(now+1, "the target has crashed")
 	}
 }
 
-// empty reports that there is no target beside this agent.
+// noTarget reports whether this agent has no target.
 //
-// A target that lives sends a heartbeat, or a packet, within two heartbeats, and its VM
-// answers a look. Without all three there is none, and the agent need not be unsure of
-// every flow that balancers search.
+// A running target sends a heartbeat or a packet within two heartbeat intervals, and its VM
+// answers a dial. Without any of the three there is no target, and the agent need not be
+// unsure about each flow that balancers search for.
 func (tr *Tracker) noTarget(now clock.Millis) bool {
 	u := &tr.upstream
 	nobody := u.refusedDials >= minFailedDials || u.unansweredDials >= minFailedDials
--- a/internal/connection/stream/evacuation_test.go
+++ b/internal/connection/stream/evacuation_test.go
@@ -11,8 +11,8 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// evacuating returns a balancer of failure domain a, with a target in each of some domains,
-// that has run for long and knows the evacuations.
+// newEvacuatingSteerer returns a balancer of failure domain a with a target in each of the
+// given domains. It has been running for long and knows the evacuations.
 func newEvacuatingSteerer(t *testing.T, table *routing.Table, evacuated []string, domains ...string) *Steerer {
 	t.Helper()
 	s := NewSteerer(testNow-clock.Minute, Settings{
@@ -30,7 +30,7 @@
 	return s
 }
 
-// openedAt counts the openings that were sent to each target.
+// countOpeningsPerTarget returns the number of openings sent to each target.
 func countOpeningsPerTarget(out Outcome, targets int) []int {
 	counts := make([]int, targets)
 	for _, send := range out.Sends {
@@ -43,30 +43,30 @@
 	return counts
 }
 
-// A failure domain is evacuated at the peak: from the order on nothing is opened there, by
-// balancers that live in it as by others, until it is withdrawn.
+// A failure domain is evacuated under peak load. From the order until its withdrawal
+// nothing may be opened there, neither by balancers in that domain nor by others.
 func TestNoOpeningsInEvacuatedDomain(t *testing.T) {
 	s := newEvacuatingSteerer(t, oneListener(t), []string{"a"}, "a", "b")
 	for i := range 100 {
 		opens(s, testNow, i)
 	}
 	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 0 || got[1] != 100 {
-		t.Errorf("openings went %v", got)
+		t.Errorf("distribution of openings: %v", got)
 	}
 	s.UpdateEvacuations(testNow, evacuation.New(4, nil))
 	opens(s, testNow, 200)
 	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 0 {
-		t.Error("an older word has undone the order")
+		t.Error("an older snapshot has undone the evacuation")
 	}
 	s.UpdateEvacuations(testNow, evacuation.New(6, nil))
 	opens(s, testNow, 201)
 	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 1 {
-		t.Error("the order was withdrawn, and nothing is opened")
+		t.Error("nothing is opened after the evacuation was withdrawn")
 	}
 }
 
-// Every failure domain is evacuated, or no target is in a home region of the listener: the
-// caller is told at once that nothing has run, and does not wait until its deadline.
+// Every failure domain is evacuated, or no target is in a home region of the listener. The
+// caller must learn at once that nothing has run instead of waiting until its deadline.
 func TestRefusedAtOnceWithoutUsableTarget(t *testing.T) {
 	homes := oneListener(t)
 	homes.Listeners[0].Homes = []string{"south"}
@@ -92,9 +92,9 @@
 	}
 }
 
-// A balancer has just started where every failure domain is evacuated. An opening waits, for
-// there may be others; once it is known that there are none its caller is told, and does not
-// wait until its copies are over.
+// A balancer has just started while every failure domain is evacuated. An opening is
+// queued, since there may be other targets. Once it is known that there are none, the
+// caller is reset at once instead of waiting until its retransmissions end.
 func TestQueuedOpeningIsRefusedOnceSettled(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
 	s.SetTable(testNow, oneListener(t))
@@ -102,7 +102,7 @@
 	s.UpdateEvacuations(testNow, evacuation.New(5, []string{"a"}))
 	opens(s, testNow+10, 1)
 	if out := s.Take(); len(out.Resets) != 0 {
-		t.Fatal("refused before it was certain")
+		t.Fatal("refused before the balancer knew all targets")
 	}
 	s.SetSettled(true)
 	s.Tick(testNow + 60)
@@ -111,7 +111,7 @@
 	}
 }
 
-// The last target that may take a flow is gone for good while the others are evacuated.
+// The last usable target is lost while the other failure domains are evacuated.
 func TestRefusedWhenRemainingTargetIsLost(t *testing.T) {
 	s := newEvacuatingSteerer(t, oneListener(t), []string{"a"}, "a", "b")
 	now := testNow
@@ -128,7 +128,7 @@
 	}
 }
 
-// A listener has a home region: its flows are opened in no other, also where their
+// Flows of a listener with a home region must not be opened in another region, even if the
 // balancer's own failure domain has room.
 func TestHomeRegions(t *testing.T) {
 	table := oneListener(t)
@@ -138,11 +138,11 @@
 		opens(s, testNow, i)
 	}
 	if got := countOpeningsPerTarget(s.Take(), 3); got[0] != 0 || got[1] != 0 || got[2] != 50 {
-		t.Errorf("openings went %v", got)
+		t.Errorf("distribution of openings: %v", got)
 	}
 }
 
-// A search hands packets to agents that do not know: what callers send does not leave the
+// A search passes packets to agents that are unsure. Callers' packets must not leave the
 // home regions of their listener.
 func TestSearchStaysInHomeRegions(t *testing.T) {
 	table := oneListener(t)
@@ -158,26 +158,26 @@
 		}
 		s.Tick(at)
 	}
-	handed := map[netip.AddrPort]bool{}
+	passed := map[netip.AddrPort]bool{}
 	for _, send := range s.Take().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_CARRY {
-			handed[send.To] = true
+			passed[send.To] = true
 		}
 	}
-	if handed[worldAddress(2, 0)] || !handed[worldAddress(2, 1)] {
-		t.Errorf("the packet was handed to %v", handed)
+	if passed[worldAddress(2, 0)] || !passed[worldAddress(2, 1)] {
+		t.Errorf("the packet was passed to %v", passed)
 	}
 }
 
-// A balancer starts while a failure domain is evacuated, and the store is away: its first
-// openings wait for a peer's word, and go where they may.
+// A balancer starts during an evacuation while the store is unavailable. Its first openings
+// wait until a peer tells it the evacuations, and then go to permitted domains.
 func TestStartWaitsForEvacuations(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
 	s.SetTable(testNow, oneListener(t))
 	hearTarget(s, testNow)
 	opens(s, testNow+10, 1)
 	if n := opened(s); n != 0 {
-		t.Fatal("an opening was sent before it was known where")
+		t.Fatal("an opening was sent before the evacuations were known")
 	}
 	s.UpdateEvacuations(testNow+60, evacuation.New(5, nil))
 	if n := opened(s); n != 1 {
@@ -185,8 +185,8 @@
 	}
 }
 
-// Nobody can tell a balancer where nothing may be opened, for the store is away and all
-// have just started: callers are served after a while.
+// The store is unavailable and all balancers have just started, so none can learn the
+// evacuations. Callers must be served after a while.
 func TestOpensWithoutEvacuationsAfterStartup(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", Evacuates: true, Flows: 1000, FlowLife: worldLife})
 	s.SetTable(testNow, oneListener(t))
@@ -197,7 +197,7 @@
 	}
 }
 
-// evacuatedAgent is an agent whose target is ready.
+// newReadyTracker returns an agent's Tracker whose target is ready.
 func newReadyTracker() *Tracker {
 	now := testNow
 	tr := NewTracker(now, TrackerSettings{
@@ -213,7 +213,7 @@
 	tr.Take()
 }
 
-// offer sends an opening to an agent, and tells what became of it.
+// offerOpening sends an opening to an agent and returns the cause of its rejection, if any.
 func offerOpening(tr *Tracker, now clock.Millis, i, warming int) wire.Cause {
 	id := callerFlow(i)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
@@ -226,8 +226,8 @@
 	return out.Sends[0].Parcel.Cause
 }
 
-// One balancer does not know of the order yet: the agent hands its openings back, so that
-// another target takes them, and keeps the flows that it has.
+// A balancer does not know the evacuation yet. The agent returns its openings, so that
+// another target gets them, and keeps its existing flows.
 func TestAgentReturnsOpeningsWhenEvacuated(t *testing.T) {
 	tr := newReadyTracker()
 	if got := offerOpening(tr, testNow, 1, 0); got != wire.Cause_CAUSE_NONE {
@@ -238,11 +238,11 @@
 		t.Errorf("after the order: %v", got)
 	}
 	if got := offerOpening(tr, testNow+3, 1, 0); got != wire.Cause_CAUSE_NONE {
-		t.Errorf("a copy of an opening that was taken before the order: %v", got)
+		t.Errorf("copy of an opening accepted before the order: %v", got)
 	}
 	sendEvacuation(tr, testNow+4, 6, false)
 	if got := offerOpening(tr, testNow+5, 2, 0); got != wire.Cause_CAUSE_EVACUATED {
-		t.Errorf("after an older word: %v", got)
+		t.Errorf("after an older revision: %v", got)
 	}
 	sendEvacuation(tr, testNow+6, 8, false)
 	if got := offerOpening(tr, testNow+7, 2, 0); got != wire.Cause_CAUSE_NONE {
@@ -250,47 +250,47 @@
 	}
 }
 
-// An order is withdrawn and the target has become slow meanwhile, which its next heartbeat
-// tells: until then it gets no more than a target that has just started.
+// A target has become slow during an evacuation, which its next heartbeat will tell. Until
+// then it gets no more openings than a target that has just started.
 func TestTargetsWarmUpAfterEvacuation(t *testing.T) {
 	tr := newReadyTracker()
 	sendEvacuation(tr, testNow, 7, true)
 	sendEvacuation(tr, testNow+1, 8, false)
-	taken := 0
+	accepted := 0
 	for i := range 50 {
 		if offerOpening(tr, testNow+2, i, 17) == wire.Cause_CAUSE_NONE {
-			taken++
+			accepted++
 		}
 	}
-	if taken != 17 {
-		t.Errorf("a target of a domain that was taken back got %d openings at once, want 17", taken)
+	if accepted != 17 {
+		t.Errorf("a target got %d openings at once after the withdrawal, want 17", accepted)
 	}
 	tr.HandleHeartbeat(testNow+100, Heartbeat{Service: "one", Born: 1, Sequence: 2, Slots: 2})
 	if got := offerOpening(tr, testNow+101, 99, 17); got != wire.Cause_CAUSE_NONE {
-		t.Errorf("after a heartbeat that says that it is not slow: %v", got)
+		t.Errorf("after a heartbeat without a cold period: %v", got)
 	}
 }
 
-// Nineteen balancers see a target that has just started at the same moment. All openings
-// together are no more than it bears in any second, and balancers that hear its report go
-// elsewhere before they are handed back.
+// Nineteen balancers discover a target that has just started at the same moment. All
+// openings together must not exceed its rate in any second, and balancers that receive its
+// report choose other targets before openings are returned.
 func TestColdTargetUnderManyBalancers(t *testing.T) {
 	const rate, balancers = 17, 19
 	tr := newReadyTracker()
 	tr.HandleHeartbeat(testNow, Heartbeat{Service: "one", Born: 1, Sequence: 2, Slots: 2, Cold: 2000})
-	taken, handed := 0, 0
+	accepted, returned := 0, 0
 	for i := range 10 * balancers {
 		switch got := offerOpening(tr, testNow+clock.Millis(i/balancers), i, rate); got {
 		case wire.Cause_CAUSE_NONE:
-			taken++
+			accepted++
 		case wire.Cause_CAUSE_WARMING:
-			handed++
+			returned++
 		default:
 			t.Fatalf("got %v", got)
 		}
 	}
-	if taken != rate || handed != 10*balancers-rate {
-		t.Errorf("%d taken, %d handed back", taken, handed)
+	if accepted != rate || returned != 10*balancers-rate {
+		t.Errorf("%d accepted, %d returned", accepted, returned)
 	}
 	table := oneListener(t)
 	table.Services = []routing.Service{{Name: "one", Warming: rate}}
@@ -312,24 +312,24 @@
 	}
 }
 
-// A version brings a bound on cold targets. Balancers that do not have it yet send openings
-// without one: those count as well for the others.
+// A configuration version introduces a limit for cold targets. Openings from balancers that
+// do not have the version yet carry no limit, but count against it.
 func TestColdTargetBetweenVersions(t *testing.T) {
 	tr := newReadyTracker()
 	tr.HandleHeartbeat(testNow, Heartbeat{Service: "one", Born: 1, Sequence: 2, Slots: 2, Cold: 2000})
 	for i := range 17 {
 		if got := offerOpening(tr, testNow, i, 0); got != wire.Cause_CAUSE_NONE {
-			t.Fatalf("without a bound: %v", got)
+			t.Fatalf("without a limit: %v", got)
 		}
 	}
 	if got := offerOpening(tr, testNow+1, 99, 17); got != wire.Cause_CAUSE_WARMING {
-		t.Errorf("an opening over the bound: %v", got)
+		t.Errorf("an opening over the limit: %v", got)
 	}
 }
 
-// A target that has just started reports room, and turns each opening away when it comes, for
-// others were faster. The opening is tried again for as long as openings wait, and then its
-// caller is told.
+// A target that has just started reports room but returns each opening, because others came
+// first. The opening is retried for as long as openings may be queued; then the caller is
+// reset.
 func TestRepeatedlyReturnedOpeningIsRefused(t *testing.T) {
 	table := oneListener(t)
 	table.Services = []routing.Service{{Name: "one", Warming: 4}}
@@ -363,12 +363,12 @@
 		t.Errorf("refused after %d ms", refused)
 	}
 	if len(s.waiting) > 0 {
-		t.Errorf("%d openings wait", len(s.waiting))
+		t.Errorf("%d openings are still queued", len(s.waiting))
 	}
 }
 
-// All targets have just started, and bear less than callers want: what does not fit waits
-// for the next moment instead of being refused.
+// All targets have just started and accept fewer openings than callers send. The excess is
+// queued instead of refused.
 func TestOpeningsQueueForColdTargets(t *testing.T) {
 	const rate = 4
 	table := oneListener(t)
@@ -394,6 +394,6 @@
 	cold(testNow+200, 2)
 	s.Tick(testNow + 200)
 	if got := countOpeningsPerTarget(s.Take(), 1)[0]; got != rate {
-		t.Errorf("%d of those that wait were opened after the next report", got)
+		t.Errorf("%d of the queued openings were sent after the next report", got)
 	}
 }
--- a/internal/connection/stream/heartbeat_test.go
+++ b/internal/connection/stream/heartbeat_test.go
@@ -8,9 +8,9 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// An agent hears its target for the first time. Whether it knows all flows must not
-// hang on how soon processes are started again: one that follows another at once, beside
-// a target that has just started, would deny flows that are well.
+// An agent receives its target's heartbeat for the first time. Whether it knows all flows
+// must not depend on how quickly processes are restarted: an agent that follows another at
+// once, with a target that has just started, would deny intact flows.
 func TestFirstHeartbeat(t *testing.T) {
 	flow := segment.Flow{Caller: worldAddress(100, 0), Listener: worldListener}
 	for _, c := range []struct {
@@ -20,23 +20,23 @@
 		want     wire.Holding
 	}{
 		{"the first one", 1, 10, wire.Holding_HOLDING_NOT},
-		{"nobody acknowledged the others", 4, 200, wire.Holding_HOLDING_NOT},
-		{"another agent may have, a pause ago", 2, worldBeat + 20, wire.Holding_HOLDING_UNSURE},
-		{"many were tried", 9, 600, wire.Holding_HOLDING_UNSURE},
+		{"the others were not acknowledged", 4, 200, wire.Holding_HOLDING_NOT},
+		{"another agent may have acknowledged, an interval ago", 2, worldBeat + 20, wire.Holding_HOLDING_UNSURE},
+		{"many were sent", 9, 600, wire.Holding_HOLDING_UNSURE},
 		{"the clock was set back", 3, -5, wire.Holding_HOLDING_UNSURE},
 	} {
 		tr := alone()
 		now := testNow + c.age
 		tr.HandleHeartbeat(now, Heartbeat{Service: "one", Born: 900, Sequence: c.sequence, Age: c.age, Slots: 4})
 		if got := tr.holding(now, flow, 7); got != c.want {
-			t.Errorf("%s: says %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: holding %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// A target starts anew, and its heartbeats are held up for long. Flows that were opened
-// meanwhile are its own, however old they are by then; those of before are gone, however
-// young.
+// A target restarts, and its heartbeats are delayed for long. Flows opened after the
+// earlier incarnation's last heartbeat may be the new one's and must stay, however old;
+// earlier ones are gone, however young.
 func TestTargetRestart(t *testing.T) {
 	tr := alone()
 	tr.HandleHeartbeat(testNow, Heartbeat{Service: "one", Born: 500, Sequence: 1, Age: 10, Slots: 4})
--- a/internal/connection/stream/holding.go
+++ b/internal/connection/stream/holding.go
@@ -8,7 +8,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// holding is what the agent knows of a flow whose caller acknowledges ack.
+// holding returns what the agent knows of a flow whose caller acknowledges ack.
 func (tr *Tracker) holding(now clock.Millis, id segment.Flow, ack uint32) wire.Holding {
 	f, ok := tr.flows.Peek(id)
 	switch {
@@ -25,8 +25,8 @@
 	}
 }
 
-// knowsAll reports that no open flow of the target began before the agent was
-// there to see it.
+// knowsAllFlows reports whether the agent has seen the opening of each open flow of the
+// target.
 func (tr *Tracker) knowsAllFlows(now clock.Millis) bool {
 	return tr.sawAllFlows || now.Sub(tr.startedAt) > tr.settings.FlowTTL || tr.upstream.gone || tr.upstream.down() || tr.noTarget(now)
 }
@@ -36,7 +36,7 @@
 	eachQuestion(p.Questions, func(id segment.Flow, ack uint32) {
 		holding := tr.holding(now, id, ack)
 		if holding == wire.Holding_HOLDING_UNSURE && tr.upstream.notFound() {
-			// Nobody would take or return a packet that is handed over.
+			// No process would accept or return a packet that is passed on.
 			holding = wire.Holding_HOLDING_UNKNOWN
 		}
 		holdings = append(holdings, byte(holding))
--- a/internal/connection/stream/load.go
+++ b/internal/connection/stream/load.go
@@ -5,22 +5,22 @@
 )
 
 const (
-	// activeFor is the silence after which an open flow no longer counts as
-	// load. Callers pause between requests for about a second.
+	// flowIdleAfter is the time without packets after which an open flow no longer counts
+	// as load. Callers pause for about a second between requests.
 	flowIdleAfter = 5 * clock.Second
-	// busyFor bounds how long a request counts as under way.
+	// maxRequestTime bounds how long a request counts as in progress.
 	maxRequestTime = 5 * clock.Second
-	// sweepEvery is how often flows that are over are looked for.
+	// sweepInterval is the interval at which expired flows are removed.
 	sweepInterval = clock.Second
-	// endedFor is how long a flow that has ended is remembered: its last
-	// packets may be sent again, with doubling pauses of up to 1.6 s.
+	// endedFlowRetention is how long an ended flow is kept: its last packets may be
+	// retransmitted with exponential delays of up to 1.6 s.
 	endedFlowRetention = 10 * clock.Second
-	// loadOver is over how long the requests under way are averaged: some ten
-	// requests of a slot.
+	// loadWindow is the averaging time of the number of requests in progress: about ten
+	// requests per slot.
 	loadWindow = clock.Second
 )
 
-// Tick ends what is over and measures the load.
+// Tick updates the load, removes expired flows and runs what has become due.
 func (tr *Tracker) Tick(now clock.Millis) {
 	tr.sampleLoad(now)
 	tr.judgePrevious(now)
@@ -48,13 +48,13 @@
 	}
 }
 
-// Loaded reports that the target's slots are in use: what balancers know of its load
-// matters for each new flow.
+// Loaded reports whether the target's slots are in use. Balancers then need its current
+// load for each new flow.
 func (tr *Tracker) Loaded() bool {
 	return tr.load > overloadThreshold*float64(max(tr.upstream.slots, 1))
 }
 
-// sample adds the requests under way to their mean, weighted by the time since
+// sampleLoad updates the mean number of requests in progress, weighted by the time since
 // the last sample.
 func (tr *Tracker) sampleLoad(now clock.Millis) {
 	busy := 0
--- a/internal/connection/stream/outlier.go
+++ b/internal/connection/stream/outlier.go
@@ -5,26 +5,26 @@
 )
 
 const (
-	// failureWeight is the weight of the last request in the share of failed
-	// ones: some four requests decide, a tenth of a second of a busy target.
+	// failureWeight is the weight of the last request in the failure rate: some four
+	// requests decide, a tenth of a second of a busy target.
 	failureWeight = 0.25
-	// ejectShare is the share of failed requests from which a target is ejected.
-	// At a target that was well it takes three failures in a row.
+	// ejectThreshold is the failure rate above which a target is ejected. For a healthy
+	// target that takes three failures in a row.
 	ejectThreshold = 0.5
-	// firstEjection is how long a target is ejected at first: callers whose
-	// request fails come back within a second. It doubles each time, up to
-	// longestEjection, and starts anew after a target was well for that long.
+	// baseEjectionTime is the duration of the first ejection: callers whose request fails
+	// retry within a second. It doubles with each ejection up to maxEjectionTime, and
+	// starts again from the base after the target was healthy for that long.
 	baseEjectionTime = clock.Second
 	maxEjectionTime  = 8 * clock.Second
-	// trialFlows is how many new flows a target on trial gets at a time: they fail
-	// if it has not recovered.
+	// trialFlows is the number of concurrent new flows for a target on trial: they fail if
+	// it has not recovered.
 	trialFlows = 2
-	// trialWait is how long a trial waits for a verdict until other flows may try:
-	// a caller that opens a flow sends its request at once.
+	// trialTimeout is how long a trial waits for a result before it admits other flows: a
+	// caller that opens a flow sends its request at once.
 	trialTimeout = clock.Second
 )
 
-// phase is how an agent treats its target.
+// phase is the state of outlier detection.
 type phase int
 
 const (
@@ -33,31 +33,31 @@
 	onTrial
 )
 
-// outlier finds out that a target ends requests without an answer while it still
-// sends heartbeats and accepts flows.
+// outlier detects a target that ends requests without an answer although it sends
+// heartbeats and accepts flows.
 //
-// A target that resets each request looks idle and would draw all new flows. Balancers
-// give an ejected one none, so what fails is what is there already, and a few flows when
-// it is tried again.
+// A target that resets each request looks idle and would attract all new flows. Balancers
+// send none to an ejected target, so only the flows that it already has fail, and a few at
+// each trial.
 //
-// For example: three requests in a row are reset, and the target is ejected for a
-// second. Then two flows may try. If one is answered, it is trusted again; if one
+// For example, a target resets three requests in a row and is ejected for a second. Then
+// two flows are admitted on trial. If one is answered, the target is healthy again; if one
 // is reset, it is ejected for two seconds.
 type outlier struct {
 	phase phase
-	// failed is the share of failed requests, the last ones counting most.
+	// failureRate is an exponentially weighted mean of failed requests.
 	failureRate float64
-	// since is when the phase began, and pause how long the last ejection was.
+	// since is when the phase began, ejectionTime the duration of the last ejection.
 	since        clock.Millis
 	ejectionTime clock.Millis
-	// tries counts the flows of the trial that wait for a verdict, and tried is
-	// when the last one was opened.
+	// pendingTrials counts the trial flows without a result, lastTrial is when the last one
+	// was opened.
 	pendingTrials int
 	lastTrial     clock.Millis
 }
 
-// answered takes note of a request that was answered. It reports whether the
-// target is trusted again.
+// recordSuccess records an answered request. It reports whether the target has become
+// healthy again.
 func (o *outlier) recordSuccess(now clock.Millis) bool {
 	o.failureRate -= o.failureRate * failureWeight
 	if o.phase != onTrial {
@@ -67,8 +67,8 @@
 	return true
 }
 
-// reset takes note of a request that the target ended without an answer. It
-// reports whether the target is to be ejected.
+// recordFailure records a request that the target ended without an answer. It reports
+// whether the target has been ejected.
 func (o *outlier) recordFailure(now clock.Millis) bool {
 	o.failureRate += (1 - o.failureRate) * failureWeight
 	if o.phase == ejected || o.phase == healthy && o.failureRate <= ejectThreshold {
@@ -82,7 +82,7 @@
 	return true
 }
 
-// due reports that an ejection has ended and the target is tried again.
+// startTrial starts a trial if an ejection has ended, and reports whether it did.
 func (o *outlier) startTrial(now clock.Millis) bool {
 	if o.phase != ejected || now.Sub(o.since) < o.ejectionTime {
 		return false
@@ -91,7 +91,7 @@
 	return true
 }
 
-// admits reports whether a new flow may be opened, and counts it.
+// admitFlow reports whether a new flow may be opened, and counts it.
 func (o *outlier) admitFlow(now clock.Millis) bool {
 	if o.phase != onTrial {
 		return true
--- a/internal/connection/stream/outlier_test.go
+++ b/internal/connection/stream/outlier_test.go
@@ -9,7 +9,8 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// faulty is an agent with a target that answers or resets requests as told.
+// scriptedTarget is an agent with a target that answers or resets requests as the test
+// demands.
 type scriptedTarget struct {
 	t       *testing.T
 	tracker *Tracker
@@ -26,7 +27,7 @@
 	return f
 }
 
-// wait lets time pass, with heartbeats.
+// advance lets time pass, with heartbeats.
 func (f *scriptedTarget) advance(d clock.Millis) {
 	for end := f.now + d; f.now < end; f.now += 50 {
 		f.tracker.HandleHeartbeat(f.now, Heartbeat{Service: "one", Born: 1, Sequence: uint64(f.now), Slots: 2})
@@ -34,8 +35,8 @@
 	}
 }
 
-// request opens a flow and sends a request, which the target answers or resets
-// 20 ms later. It reports whether the agent took the opening.
+// request opens a flow and sends a request, which the target answers or resets 20 ms later.
+// It reports whether the agent accepted the opening.
 func (f *scriptedTarget) request(answered bool) bool {
 	c, ok := f.openAndRequest()
 	if !ok {
@@ -50,7 +51,7 @@
 	return true
 }
 
-// ask opens a flow and sends a request, unless the agent returns the opening.
+// openAndRequest opens a flow and sends a request, unless the agent returns the opening.
 func (f *scriptedTarget) openAndRequest() (netip.AddrPort, bool) {
 	f.port++
 	c := worldAddress(100, int(f.port))
@@ -64,13 +65,13 @@
 	return c, true
 }
 
-// hear brings a caller's packet to the agent.
+// sendFromCaller delivers a caller's packet to the agent.
 func (f *scriptedTarget) sendFromCaller(c netip.AddrPort, verb wire.Verb, s segment.Segment) {
 	s.Source, s.Destination = c, worldListener
 	f.tracker.HandleParcel(f.now, worldAddress(1, 0), &wire.Parcel{Verb: verb, Service: "one", Packet: encode(s)}, &s)
 }
 
-// send is a packet of the target.
+// sendFromTarget delivers a packet of the target to the agent.
 func (f *scriptedTarget) sendFromTarget(c netip.AddrPort, s segment.Segment) {
 	s.Source, s.Destination = worldListener, c
 	f.tracker.HandleTargetPacket(f.now, &s, encode(s))
@@ -80,10 +81,10 @@
 	return f.tracker.report(f.now, 0).Condition
 }
 
-// A target goes on sending heartbeats and accepts every flow, but resets each as
-// soon as a request comes. The callers that were reset come back at once, and
-// nothing looks as idle as this target. After three requests the agent says that
-// it fails; it is tried with two flows after a second, and then rarer.
+// A target sends heartbeats and accepts every flow, but resets each one at its first
+// request. The callers reconnect at once, and the target looks idlest of all. After three
+// requests the agent reports it as failing; it is tried with two flows after a second, and
+// then less often.
 func TestEjectTargetThatResets(t *testing.T) {
 	f := newScriptedTarget(t)
 	for range 20 {
@@ -93,7 +94,7 @@
 		f.request(false)
 	}
 	if got := f.condition(); got != wire.Condition_CONDITION_FAILING {
-		t.Fatalf("after three requests that were reset the target is %v", got)
+		t.Fatalf("condition after three reset requests: %v", got)
 	}
 	failed := 3
 	for end := f.now + 20*clock.Second; f.now < end; {
@@ -103,23 +104,22 @@
 		}
 	}
 	if failed > 15 {
-		t.Errorf("%d requests failed at a target that has reset all for 20 s", failed)
+		t.Errorf("%d requests failed at a target that reset all requests for 20 s", failed)
 	}
 	f.advance(maxEjectionTime)
 	if got := f.condition(); got != wire.Condition_CONDITION_READY || !f.request(true) {
-		t.Fatalf("the target is not tried again: %v", got)
+		t.Fatalf("the target is not ready again: %v", got)
 	}
 	for range 10 {
 		if !f.request(true) {
-			t.Error("a target that answers on trial does not get all flows again")
+			t.Error("a target that answered on trial does not get all flows again")
 		}
 	}
 }
 
-// A failing target is tried again, and a burst of openings reaches it before it has
-// answered one. Two of them show whether it has recovered; the others are returned,
-// or they would all fail with it. If the two never get as far as a request, others
-// may try a second later.
+// A burst of openings reaches a failing target on trial before it has answered one. Two of
+// them show whether it has recovered; the others are returned, or they would all fail with
+// it. If the two never send a request, others are admitted a second later.
 func TestTrialIsLimited(t *testing.T) {
 	f := newScriptedTarget(t)
 	for range 3 {
@@ -144,9 +144,8 @@
 	}
 }
 
-// Everybody comes at once, and a target that is full resets what is over its cap,
-// several in a row, while it works on the others. It is as well as any: to take new
-// flows from it would only fill the next one.
+// Under a burst a full target resets several requests in a row that exceed its limit while
+// it works on the others. It is healthy; ejecting it would overload the next target.
 func TestFullTargetIsNotEjected(t *testing.T) {
 	f := newScriptedTarget(t)
 	for range 26 {
@@ -156,25 +155,25 @@
 		f.request(false)
 	}
 	if got := f.condition(); got != wire.Condition_CONDITION_READY {
-		t.Errorf("a target with 26 requests under way that resets ten more is %v", got)
+		t.Errorf("condition of a target with 26 requests in progress that resets ten more: %v", got)
 	}
 }
 
-// A request fails now and then: callers break off, or a target restarts a worker.
-// That is no reason to take the target away from those that are well.
+// Requests fail now and then because callers disconnect or a target restarts a worker. This
+// must not eject the target.
 func TestRareResetsDoNotEject(t *testing.T) {
 	f := newScriptedTarget(t)
 	for i := range 200 {
 		f.request(i%4 != 0)
 		f.advance(50)
 		if got := f.condition(); got != wire.Condition_CONDITION_READY {
-			t.Fatalf("after %d requests, every fourth of which failed, the target is %v", i+1, got)
+			t.Fatalf("condition after %d requests, every fourth of which failed: %v", i+1, got)
 		}
 	}
 }
 
-// A target ends flows that are idle, and answers what still comes on them with a
-// reset, as the protocol wants it: it is well.
+// A target closes idle flows and answers later packets on them with a reset, as the
+// protocol demands. It is healthy.
 func TestResetOfEndedFlowIsNoFailure(t *testing.T) {
 	f := newScriptedTarget(t)
 	c := worldAddress(100, 1)
@@ -184,11 +183,11 @@
 		f.sendFromTarget(c, segment.Segment{Flags: segment.Resets, Seq: 6})
 	}
 	if got := f.condition(); got != wire.Condition_CONDITION_READY {
-		t.Errorf("a target that ended a flow is %v", got)
+		t.Errorf("condition of a target that ended a flow: %v", got)
 	}
 }
 
-// failing marks targets of loaded as ejected.
+// markFailing marks some of the targets as ejected.
 func markFailing(ts *Targets, which ...int) {
 	for _, i := range which {
 		t, _ := ts.Find(worldAddress(2, i))
@@ -196,9 +195,9 @@
 	}
 }
 
-// One target of three fails all requests and therefore looks idle. It gets no new
-// flows. Where most targets fail, the cause is elsewhere, and leaving them out
-// would only bring down the rest: all are used.
+// One target of three fails all requests and therefore looks idle. It gets no new flows. If
+// most targets fail, the cause lies elsewhere and skipping them would overload the rest, so
+// all are used.
 func TestChooseSkipsFailing(t *testing.T) {
 	loads := []targetLoad{{"a", 30, 1, 0}, {"a", 30, 1, 0}, {"a", 0, 0, 0}}
 	ts := newLoadedTargets(loads...)
--- a/internal/connection/stream/parcels_test.go
+++ b/internal/connection/stream/parcels_test.go
@@ -9,14 +9,16 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// surpriseSeeds are the runs of each test and surpriseSteps what happens in each.
+// randomParcelSeeds is the number of runs of each test, randomParcelSteps the number of
+// events in each.
 const (
 	randomParcelSeeds = 8
 	randomParcelSteps = 1000
 )
 
-// surprise makes parcels of every verb whose parts fit each other or do not: flows,
-// targets and processes that are known and unknown, lists that are empty, cut or too long.
+// randomParcels generates parcels of every verb with consistent and inconsistent fields:
+// known and unknown flows, targets and processes, and lists that are empty, truncated or
+// too long.
 type randomParcels struct{ *rand.Rand }
 
 func (r randomParcels) flow() segment.Flow {
@@ -101,8 +103,8 @@
 	return m
 }
 
-// A surprising or malformed parcel of any verb must end no process, whatever a balancer
-// has under way: searches up to their bound, openings that wait, targets that come and go.
+// Random or malformed parcels of any verb must not crash a balancer in any state: with the
+// maximum number of searches, queued openings, or targets that come and go.
 func TestRandomParcelsAtSteerer(t *testing.T) {
 	for seed := range uint64(randomParcelSeeds) {
 		r := randomParcels{rand.New(rand.NewPCG(seed, 7))}
@@ -138,17 +140,17 @@
 			}
 			for _, send := range s.Take().Sends {
 				if !send.To.IsValid() {
-					t.Fatalf("seed %d: a parcel of verb %s for nobody", seed, send.Parcel.Verb)
+					t.Fatalf("seed %d: parcel of verb %s without a destination", seed, send.Parcel.Verb)
 				}
 			}
 			if len(s.searches) > s.room()+1 || len(s.waiting) > mostWaiting || len(s.news) > maxChanges {
-				t.Fatalf("seed %d: %d searches, %d openings that wait, %d news", seed, len(s.searches), len(s.waiting), len(s.news))
+				t.Fatalf("seed %d: %d searches, %d queued openings, %d changes", seed, len(s.searches), len(s.waiting), len(s.news))
 			}
 		}
 	}
 }
 
-// The same at an agent: its target comes, goes and restarts meanwhile.
+// The same for an agent whose target starts, stops and restarts meanwhile.
 func TestRandomParcelsAtTracker(t *testing.T) {
 	for seed := range uint64(randomParcelSeeds) {
 		r := randomParcels{rand.New(rand.NewPCG(seed, 8))}
@@ -184,11 +186,11 @@
 			}
 			for _, send := range tr.Take().Sends {
 				if !send.To.IsValid() {
-					t.Fatalf("seed %d: a parcel of verb %s for nobody", seed, send.Parcel.Verb)
+					t.Fatalf("seed %d: parcel of verb %s without a destination", seed, send.Parcel.Verb)
 				}
 			}
 			if tr.flows.Len() > 50 || tr.denied.Len() > 50 || len(tr.busyFlows) > 50 {
-				t.Fatalf("seed %d: %d flows, %d denied, %d under way", seed, tr.flows.Len(), tr.denied.Len(), len(tr.busyFlows))
+				t.Fatalf("seed %d: %d flows, %d denied, %d with a request in progress", seed, tr.flows.Len(), tr.denied.Len(), len(tr.busyFlows))
 			}
 		}
 	}
--- a/internal/connection/stream/placement.go
+++ b/internal/connection/stream/placement.go
@@ -9,20 +9,20 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Demand is a new flow that wants a target.
+// PlacementRequest describes a new flow that needs a target.
 type PlacementRequest struct {
 	Service string
-	// Homes are the regions in which it may be served; any if there are none.
+	// HomeRegions are the regions in which the flow may be served; empty for any.
 	HomeRegions []string
-	// Warming is how many openings a second a target of the service bears while it is slow
-	// after its start; zero for no bound.
+	// WarmingRate is the number of openings a second that a target of the service accepts
+	// while it is slow after its start; zero for no limit.
 	WarmingRate int
-	// Tried are the agents that were sent the opening already.
+	// Tried are the agents to which the opening was already sent.
 	Tried []netip.AddrPort
 }
 
-// TakeEvacuations takes what a reader or another balancer knows of the evacuations, and
-// reports whether they are others than before, or known for the first time.
+// UpdateEvacuations applies evacuations read from the store or received from another
+// balancer. It reports whether they changed or are known for the first time.
 func (s *Steerer) UpdateEvacuations(now clock.Millis, later evacuation.Snapshot) bool {
 	known := &s.Targets.evacuated
 	first := !known.Known() && later.Known()
@@ -42,35 +42,37 @@
 	}
 }
 
-// Evacuations returns the evacuations in force, as far as they are known.
+// Evacuations returns the known evacuations in force.
 func (s *Steerer) Evacuations() evacuation.Snapshot {
 	return s.Targets.evacuated
 }
 
-// blind reports that it is not known yet where nothing is to be opened.
+// evacuationsUnknown reports whether the balancer does not know yet which failure domains
+// are evacuated.
 func (s *Steerer) evacuationsUnknown() bool {
 	return s.settings.Evacuates && !s.Targets.evacuated.Known()
 }
 
 // allowed reports whether flows may be opened in a failure domain.
-func (ts *Targets) allowed(domain string, d *PlacementRequest) bool {
-	return !ts.evacuated.Has(domain) && ts.inHomeRegion(domain, d.HomeRegions)
+func (ts *Targets) allowed(domain string, req *PlacementRequest) bool {
+	return !ts.evacuated.Has(domain) && ts.inHomeRegion(domain, req.HomeRegions)
 }
 
-// home reports whether a failure domain lies in one of the regions, where any are given.
+// inHomeRegion reports whether a failure domain lies in one of the regions; true if there
+// are none.
 func (ts *Targets) inHomeRegion(domain string, homes []string) bool {
 	return len(homes) == 0 || slices.Contains(homes, ts.regions[domain])
 }
 
-// usable reports whether the target may be chosen for the flow. failing tells to take one
-// that fails requests as well.
-func (ts *Targets) usable(now clock.Millis, t *Target, d *PlacementRequest, failing bool) bool {
+// usable reports whether the target may be chosen for the flow. failing also permits
+// targets that fail requests.
+func (ts *Targets) usable(now clock.Millis, t *Target, req *PlacementRequest, failing bool) bool {
 	opens := t.AcceptsFlows(now) || failing && t.failing(now)
-	return opens && ts.allowed(t.Domain, d) && t.hasRoom(now, d.WarmingRate) && !slices.Contains(d.Tried, t.Address)
+	return opens && ts.allowed(t.Domain, req) && t.hasRoom(now, req.WarmingRate) && !slices.Contains(req.Tried, t.Address)
 }
 
-// bears reports whether a target that is slow after its start takes another opening, as
-// far as is known here.
+// hasRoom reports whether a target that is slow after its start accepts another opening, as
+// far as this balancer knows.
 func (t *Target) hasRoom(now clock.Millis, rate int) bool {
 	if rate == 0 || now >= t.ColdUntil {
 		return true
@@ -82,14 +84,14 @@
 	return t.placed+1 <= float64(room)
 }
 
-// barred says why no target of the service can take the flow, however long its caller
-// waits, or nothing if one may.
-func (ts *Targets) blockedReason(now clock.Millis, d *PlacementRequest) string {
+// blockedReason returns why no target of the service can ever accept the flow, or "" if one
+// may.
+func (ts *Targets) blockedReason(now clock.Millis, req *PlacementRequest) string {
 	reason := ""
-	for _, t := range ts.useService(now, d.Service) {
+	for _, t := range ts.useService(now, req.Service) {
 		staying := t.Condition != wire.Condition_CONDITION_DRAINING && !t.Lost(now)
 		switch {
-		case !ts.inHomeRegion(t.Domain, d.HomeRegions):
+		case !ts.inHomeRegion(t.Domain, req.HomeRegions):
 			if reason == "" {
 				reason = "no target in its home regions"
 			}
@@ -102,11 +104,11 @@
 	return reason
 }
 
-// warming reports that a target would take the flow if it had not just started.
-func (ts *Targets) anyWarming(now clock.Millis, d *PlacementRequest) bool {
-	for _, t := range ts.useService(now, d.Service) {
-		if t.AcceptsFlows(now) && ts.allowed(t.Domain, d) && now < t.ColdUntil {
-			return d.WarmingRate > 0
+// anyWarming reports whether a target would accept the flow if it had not just started.
+func (ts *Targets) anyWarming(now clock.Millis, req *PlacementRequest) bool {
+	for _, t := range ts.useService(now, req.Service) {
+		if t.AcceptsFlows(now) && ts.allowed(t.Domain, req) && now < t.ColdUntil {
+			return req.WarmingRate > 0
 		}
 	}
 	return false
--- a/internal/connection/stream/probe.go
+++ b/internal/connection/stream/probe.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// nearProbe is how often targets in the balancer's own failure domain are probed, and
-	// farProbe how often those in others of which no summary tells. Load changes within a
-	// mean request, some 30 ms, but a report that is 200 ms old is corrected by what was
-	// placed since; traffic between domains is paid for.
+	// localProbeInterval is the probe interval for targets in the balancer's own failure
+	// domain, remoteProbeInterval for remote ones not covered by a summary. Load changes
+	// within a mean request, some 30 ms, but a report that is 200 ms old is corrected by
+	// the flows placed since. Traffic between domains is billed.
 	localProbeInterval  = 200 * clock.Millis(1)
 	remoteProbeInterval = clock.Second
-	// restProbe is how often targets of a service are probed that had no
-	// openings or searches here for restAfter: a balancer among hundreds sees
-	// few of the services.
+	// idleProbeInterval is the probe interval for targets of a service without openings or
+	// searches at this balancer for idleServiceAfter. One balancer among hundreds handles
+	// only a few of the services.
 	idleProbeInterval = 5 * clock.Second
 	idleServiceAfter  = 20 * clock.Second
-	// againProbe is the pause before a probe without answer is repeated, some
+	// probeRetryInterval is the interval at which an unanswered probe is repeated, some
 	// round trips between failure domains.
 	probeRetryInterval = 100 * clock.Millis(1)
-	// lostProbe is the pause between probes of a suspected target.
+	// suspectedProbeInterval is the probe interval for a suspected target.
 	suspectedProbeInterval = 500 * clock.Millis(1)
-	// tickLate is a pause between two ticks that is longer than planned: this
-	// process stood still, or is short of processor time.
+	// tickTolerance is the interval between two ticks beyond which this process was paused
+	// or is short of CPU time.
 	tickTolerance = 100 * clock.Millis(1)
-	// forgetAfter is the silence after which a target is no longer known: a
-	// flow lives no longer than a minute.
+	// targetRetention is the silence after which a target is removed: a flow lives no
+	// longer than a minute.
 	targetRetention = 70 * clock.Second
 )
 
-// Due returns the targets to probe now and notes that they are.
+// DueProbes returns the targets to probe now and records the probes.
 //
-// The time that this process itself was late does not count: its targets would seem
-// silent, and flows that are well would be reset.
+// Time during which this process was paused does not count as silence. Otherwise targets
+// would seem lost, and their intact flows would be reset.
 func (ts *Targets) DueProbes(now clock.Millis) []*Target {
 	late := clock.Millis(0)
 	if ts.lastTick != 0 {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Forget removes the targets that were silent for longer than a flow lives, and
-// old notes of targets that left.
+// RemoveSilent removes and returns the targets that were silent for longer than the
+// lifetime of a flow. It also removes expired records of targets that left.
 func (ts *Targets) RemoveSilent(now clock.Millis) []*Target {
 	var gone []*Target
 	for _, t := range ts.known {
@@ -99,7 +99,7 @@
 	return gone
 }
 
-// Answering returns how many targets answer probes, and how many there are.
+// Answering returns the number of targets that answer probes and the number of all targets.
 func (ts *Targets) Answering(now clock.Millis) (answering, all int) {
 	for _, t := range ts.known {
 		if !t.Suspected(now) {
--- a/internal/connection/stream/relay.go
+++ b/internal/connection/stream/relay.go
@@ -8,7 +8,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Relay returns the balancer that has told of the targets of another failure domain lately.
+// Relay returns the balancer that recently sent a summary of another failure domain.
 func (ts *Targets) Relay(now clock.Millis, domain string) (netip.AddrPort, bool) {
 	s := ts.summaries[domain]
 	if s == nil || s.relayHeardAt == 0 || now.Sub(s.relayHeardAt) > summaryTTL {
@@ -17,11 +17,12 @@
 	return s.relay, true
 }
 
-// HandOn hands a question of a balancer of another failure domain on to the agents of this
-// one, who answer the asker. It reports whether it does: where there is no room, the asker
-// asks those itself that have not answered.
+// RelayQuestions forwards questions from a balancer in another failure domain to the agents
+// of this one, which answer the asker directly. It returns false if the budget is used up;
+// the asker then asks the agents that have not answered itself.
 //
-// Asked one by one, each lost flow would cross failure domains once for each target there.
+// Without a relay, the question for each lost flow would cross between failure domains once
+// per target.
 func (s *Steerer) RelayQuestions(now clock.Millis, asker netip.AddrPort, p *wire.Parcel) bool {
 	if len(p.Asker) > 0 || !s.handing.fill(now) {
 		return false
--- a/internal/connection/stream/report.go
+++ b/internal/connection/stream/report.go
@@ -9,16 +9,16 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// ReportEvery is the longest pause between two reports of an agent to a balancer
-// that it knows.
+// ReportInterval is the maximum interval between an agent's reports to a balancer that it
+// knows.
 const ReportInterval = clock.Second
 
-// servingWeight is the weight of the last request in the mean time that one takes: some
-// tens of requests, a second of a busy target.
+// latencyWeight is the weight of the last request in the mean latency, which thus covers
+// some tens of requests, a second of a busy target.
 const latencyWeight = 0.05
 
-// Turned reports whether the target is in another condition than at the last
-// call. Balancers are to be told at once, for they send it new flows or none.
+// ConditionChanged reports whether the target's condition has changed since the last call.
+// Balancers must be told at once, since it decides whether they send new flows.
 func (tr *Tracker) ConditionChanged(now clock.Millis) bool {
 	c := tr.condition(now)
 	turned := c != tr.reportedCondition
@@ -26,10 +26,11 @@
 	return turned
 }
 
-// judge takes note of how the target has ended a request that came at a time.
+// recordRequestEnd records how the target ended a request.
 //
-// A target that is full resets what is over its cap, and taking it for failing would
-// fill the next one. So a reset counts only if the target has a slot free.
+// A target that is full resets requests over its limit; treating it as failing would
+// overload the next one. A reset therefore counts as a failure only if the target has a
+// free slot.
 func (tr *Tracker) recordRequestEnd(now clock.Millis, id segment.Flow, f *trackedFlow, answered bool) {
 	u := &tr.upstream
 	if answered {
@@ -41,9 +42,9 @@
 	}
 	working := len(tr.busyFlows)
 	full := working > max(u.slots, 1)
-	reason := "the target reset it under way"
+	reason := "the target reset the request"
 	if full {
-		reason = "the target is full and reset it"
+		reason = "the target is full and reset the request"
 	}
 	tr.out.note(Event{
 		Kind: Failed, Flow: id, Target: f.balancer, Service: tr.settings.Service, Reason: reason, Age: now.Sub(f.busySince),
@@ -54,25 +55,26 @@
 	}
 }
 
-// served takes note of how long a request took.
-func (tr *Tracker) recordLatency(took clock.Millis) {
-	tr.out.Served = append(tr.out.Served, took)
+// recordLatency records the latency of a request.
+func (tr *Tracker) recordLatency(latency clock.Millis) {
+	tr.out.Served = append(tr.out.Served, latency)
 	if tr.meanLatency == 0 {
-		tr.meanLatency = float64(took)
+		tr.meanLatency = float64(latency)
 		return
 	}
-	tr.meanLatency += (float64(took) - tr.meanLatency) * latencyWeight
+	tr.meanLatency += (float64(latency) - tr.meanLatency) * latencyWeight
 }
 
-// noteCondition notes that the agent's belief about its target has changed.
-func (tr *Tracker) recordCondition(now clock.Millis, why string) {
+// recordCondition records an event with the target's condition and the reason for the
+// change.
+func (tr *Tracker) recordCondition(now clock.Millis, reason string) {
 	tr.out.note(Event{
-		Kind: Upstream, Service: tr.settings.Service, Reason: tr.condition(now).String() + ", " + why,
+		Kind: Upstream, Service: tr.settings.Service, Reason: tr.condition(now).String() + ", " + reason,
 		Count: int(tr.upstream.sequence), Age: now.Sub(tr.upstream.lastHeartbeat),
 	})
 }
 
-// report is the target's state as balancers want it.
+// report returns the target's state for balancers.
 func (tr *Tracker) report(now clock.Millis, probe uint64) *wire.Report {
 	tr.sequence++
 	u := &tr.upstream
@@ -98,17 +100,18 @@
 		tr.checkpoints.keeper, tr.checkpoints.keeperHeardAt = from, now
 	}
 	if former := p.Report; former.Epoch != 0 && former.Epoch != tr.settings.Epoch && former.Born == tr.upstream.born {
-		// The balancer heard an earlier process beside the same target, which
-		// may have opened flows that this one never saw.
+		// The balancer knows an earlier process of the agent with the same target. It may
+		// have opened flows that this process has not seen.
 		tr.sawAllFlows = false
 	}
 	tr.out.send(from, &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: tr.report(now, p.Report.Probe)})
 }
 
-// ordered takes a balancer's word on the evacuation of this failure domain.
+// updateEvacuation applies a balancer's information on the evacuation of this failure
+// domain.
 //
-// Targets that nothing was opened at may be slow again when the order is withdrawn, which
-// their next heartbeat tells.
+// While a failure domain is evacuated its targets get no openings and may become slow
+// again. They count as slow after the order is withdrawn until their next heartbeat.
 func (tr *Tracker) updateEvacuation(now clock.Millis, probe *wire.Report) {
 	if !tr.gate.Take(probe.Orders, probe.Evacuated) {
 		return
@@ -121,7 +124,7 @@
 	tr.out.note(Event{Kind: Evacuation, Service: tr.settings.Service, Reason: reason, Version: tr.gate.Revision})
 }
 
-// Tell reports to the balancers without being asked.
+// SendReport sends an unsolicited report to balancers.
 func (tr *Tracker) SendReport(now clock.Millis, balancers []netip.AddrPort) {
 	if len(balancers) == 0 {
 		return
--- a/internal/connection/stream/restore.go
+++ b/internal/connection/stream/restore.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	// resetsPerTick bounds the callers that are told in one tick of lost flows.
+	// maxResetsPerTick bounds the lost flows that are reset in one tick.
 	maxResetsPerTick = 200
-	// keeperFor is the silence after which the keeper no longer counts as there: it
-	// probes targets of its failure domain every 200 ms.
+	// keeperTimeout is the time without a probe after which the keeper counts as gone: it
+	// probes the targets of its failure domain every 200 ms.
 	keeperTimeout = 2 * clock.Second
 )
 
-// keeping is what an agent does for its flows to outlive a loss of power.
+// checkpointState is the agent's state for the checkpoints with which callers learn of
+// flows lost in a power loss.
 type checkpointState struct {
-	// on tells that flows are kept at all, and read that what an earlier process has
-	// left was read, or that there was nothing.
+	// enabled is set if flows are checkpointed. loaded is set once the checkpoint of an
+	// earlier process has been read or is known not to exist.
 	enabled bool
 	loaded  bool
-	// past is the entry of an earlier process that was not judged yet, at is the
-	// clock of the VM in Unix milliseconds less the process's own when it was read,
-	// and lost are flows of an earlier target whose callers are still to be told.
+	// previous is the checkpoint of an earlier process for which there is no verdict yet.
+	// clockOffset is the VM's wall clock in Unix milliseconds minus the process clock at
+	// the time when it was read. lostFlows are flows of an earlier target whose callers are
+	// still to be reset.
 	previous    *checkpoint.Entry
 	clockOffset int64
 	lostFlows   checkpoint.Flows
-	// keeper is the balancer that keeps the entries of this failure domain.
+	// keeper is the balancer that stores the checkpoints of this failure domain.
 	keeper        netip.AddrPort
 	keeperHeardAt clock.Millis
 	writer        *checkpoint.Writer
 }
 
-// entry returns the target's open flows, the longest unused first.
+// checkpointEntry returns the target's open flows, least recently used first.
 //
-// A flow is the present target's only if a heartbeat came after its opening: the
-// target may have started anew since the heartbeat before.
+// A flow surely belongs to the current target only if a heartbeat has arrived since its
+// opening: the target may have restarted after the last heartbeat.
 func (tr *Tracker) checkpointEntry() checkpoint.Entry {
 	u := &tr.upstream
 	e := checkpoint.Entry{Service: tr.settings.Service, Born: u.born, Writer: tr.settings.Epoch}
@@ -50,8 +52,8 @@
 	return e
 }
 
-// keep sends the open flows to the keeper if there is news of them. What an earlier
-// process has left is replaced by that, so it must have been judged.
+// sendCheckpoint sends the open flows to the keeper if they have changed. This overwrites
+// the checkpoint of an earlier process, so there must be a verdict on that one first.
 func (tr *Tracker) sendCheckpoint(now clock.Millis) {
 	c, u := &tr.checkpoints, &tr.upstream
 	judged := c.loaded && c.previous == nil && len(c.lostFlows) == 0
@@ -67,15 +69,15 @@
 	}
 }
 
-// kept takes the keeper's word that an entry is in the store.
+// handleKept handles the keeper's acknowledgement that a checkpoint is stored.
 func (tr *Tracker) handleKept(p *wire.Parcel) {
 	if p.Checkpoint != nil {
 		tr.checkpoints.writer.Kept(p.Checkpoint.Number, clock.Millis(p.Checkpoint.Pause))
 	}
 }
 
-// Restore takes the entry that an earlier process has left, or nil if there is none.
-// wall is the clock of the VM in Unix milliseconds.
+// Restore sets the checkpoint that an earlier process stored, or nil if there is none. wall
+// is the VM's clock in Unix milliseconds.
 func (tr *Tracker) Restore(now clock.Millis, wall int64, e *checkpoint.Entry) {
 	tr.checkpoints.loaded = true
 	tr.checkpoints.previous = e
@@ -83,7 +85,7 @@
 	tr.judgePrevious(now)
 }
 
-// judgePast concludes from the entry of an earlier process as soon as it can.
+// judgePrevious acts on the checkpoint of an earlier process as soon as there is a verdict.
 func (tr *Tracker) judgePrevious(now clock.Millis) {
 	c, u := &tr.checkpoints, &tr.upstream
 	if c.previous == nil {
@@ -96,19 +98,19 @@
 	case checkpoint.Wait:
 		return
 	case checkpoint.Alive:
-		tr.recordRestore("the target lives on", c.previous.Flows.Len())
+		tr.recordRestore("the target is still running", c.previous.Flows.Len())
 	case checkpoint.Gone:
 		tr.recordRestore("the earlier target is gone", c.previous.Flows.Len())
 		c.lostFlows = c.previous.Flows
 		tr.resetLostFlows(now)
 	case checkpoint.Ignore:
-		tr.recordRestore("too old, or another service's", 0)
+		tr.recordRestore("too old or for another service", 0)
 	}
 	c.previous = nil
 }
 
-// resetLost tells the callers of flows that were lost with an earlier target, some at
-// a time. A flow that this process knows was opened since.
+// resetLostFlows resets a bounded number of the flows that were lost with an earlier
+// target. It skips flows that this process knows, since they were opened later.
 func (tr *Tracker) resetLostFlows(now clock.Millis) {
 	due, rest := tr.checkpoints.lostFlows.Cut(maxResetsPerTick)
 	tr.checkpoints.lostFlows = rest
--- a/internal/connection/stream/restore_test.go
+++ b/internal/connection/stream/restore_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// left is what an earlier agent has left of a target that started at 500.
+// previousEntry returns the checkpoint of an earlier agent whose target started at 500.
 func previousEntry(flows int) *checkpoint.Entry {
 	e := &checkpoint.Entry{Service: "one", Born: 500, Writer: 9, At: testWallClock - 3000}
 	for i := range flows {
@@ -28,7 +28,7 @@
 	return e
 }
 
-// returning is an agent that has just started.
+// newRestartedTracker returns the Tracker of an agent that has just started.
 func newRestartedTracker() *Tracker {
 	return NewTracker(testNow, TrackerSettings{
 		Service: "one", Heartbeat: worldBeat, HeartbeatTimeout: 3 * worldBeat, MaxFlows: 1000, FlowTTL: worldLife, Epoch: 10,
@@ -36,7 +36,7 @@
 	})
 }
 
-// serve opens a caller's flow at the agent's target.
+// openFlow opens a caller's flow at the agent's target.
 func openFlow(tr *Tracker, at clock.Millis, i int) {
 	id := callerFlow(i)
 	s := segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens}
@@ -51,9 +51,9 @@
 	tr.HandleHeartbeat(now, Heartbeat{Service: "one", Born: born, Sequence: sequence, Age: 10, Slots: 4})
 }
 
-// All VMs lost power. The agent hears a target that has just started before it has read
-// what is kept, or after: the callers of the flows of before are told at once, each with
-// a number that it takes.
+// All VMs lost power. The agent receives a heartbeat of the restarted target before or
+// after it has read the checkpoint. The callers of the earlier flows must be reset at once,
+// each with a sequence number that it accepts.
 func TestLostFlowsAreReset(t *testing.T) {
 	for _, entryFirst := range []bool{true, false} {
 		tr := newRestartedTracker()
@@ -69,13 +69,13 @@
 			t.Errorf("entry first %v: resets %v", entryFirst, resets)
 		}
 		if got := tr.holding(testNow+30, callerFlow(1), 1001); got != wire.Holding_HOLDING_NOT {
-			t.Errorf("entry first %v: says %v of a lost flow", entryFirst, got)
+			t.Errorf("entry first %v: holding of a lost flow: %v", entryFirst, got)
 		}
 	}
 }
 
-// A target held thousands of flows: their callers are told some at a time, and packets
-// do not wait for all of it.
+// A target held thousands of flows. Their callers are reset some at a time, so that packets
+// are not delayed.
 func TestManyLostFlows(t *testing.T) {
 	tr := newRestartedTracker()
 	tr.Restore(testNow, testWallClock, previousEntry(2*maxResetsPerTick+10))
@@ -90,12 +90,12 @@
 		tr.Tick(testNow + 10 + 50*i)
 	}
 	if total != 2*maxResetsPerTick+10 {
-		t.Errorf("%d callers were told", total)
+		t.Errorf("%d flows were reset", total)
 	}
 }
 
-// A caller has used its port again before the lost flows were read: the flow of now is
-// well and stays.
+// A caller has reused its port before the checkpoint was read. The new flow is intact and
+// must not be reset.
 func TestFlowOpenedAgainIsNotReset(t *testing.T) {
 	tr := newRestartedTracker()
 	sendHeartbeat(tr, testNow+5, 900, 1)
@@ -105,13 +105,13 @@
 	tr.Restore(testNow+20, testWallClock, previousEntry(3))
 	for _, r := range tr.Take().Resets {
 		if r.Flow == callerFlow(1) {
-			t.Error("a flow that was opened since is reset")
+			t.Error("a flow that was opened again is reset")
 		}
 	}
 }
 
-// The agent was killed beside a living target: it resets nothing, and is unsure of what
-// it did not see begin, whether it was kept or not.
+// The agent was killed while its target kept running. It must reset nothing, and is unsure
+// of flows whose opening it did not see, whether they are in the checkpoint or not.
 func TestFlowsOfRunningTargetAreKept(t *testing.T) {
 	tr := newRestartedTracker()
 	tr.Restore(testNow, testWallClock, previousEntry(3))
@@ -121,36 +121,37 @@
 	}
 	for _, i := range []int{1, 7} {
 		if got := tr.holding(testNow+10, callerFlow(i), 1001); got != wire.Holding_HOLDING_UNSURE {
-			t.Errorf("says %v of flow %d", got, i)
+			t.Errorf("holding %v for flow %d", got, i)
 		}
 	}
 }
 
-// A request was opened right before the target started anew, which its agent has not
-// heard yet: the flow may be the new target's. It must not be kept as the old one's.
+// A flow is opened after the target's last heartbeat. The target may have restarted since
+// without the agent knowing, so the flow may belong to the new incarnation and must not be
+// stored as one of the old.
 func TestUnconfirmedFlowsAreNotCheckpointed(t *testing.T) {
 	tr := newRestartedTracker()
 	tr.Restore(testNow, testWallClock, nil)
 	sendHeartbeat(tr, testNow+5, 500, 1)
 	openFlow(tr, testNow+10, 1)
 	if e := tr.checkpointEntry(); e.Flows.Len() != 0 {
-		t.Errorf("%d flows are kept before a heartbeat came", e.Flows.Len())
+		t.Errorf("%d flows are in the checkpoint before a heartbeat arrived", e.Flows.Len())
 	}
 	sendHeartbeat(tr, testNow+1200, 500, 2)
 	openFlow(tr, testNow+1300, 2)
 	e := tr.checkpointEntry()
 	for f := range e.Flows.All() {
 		if f != (checkpoint.Flow{ID: callerFlow(1), Ack: 1000}) {
-			t.Errorf("kept: %v", f)
+			t.Errorf("unexpected flow in the checkpoint: %v", f)
 		}
 	}
 	if e.Flows.Len() != 1 || e.Born != 500 || e.Writer != 10 {
-		t.Errorf("the entry is %+v", e)
+		t.Errorf("checkpoint: %+v", e)
 	}
 }
 
-// A keeper asks, and the agent has not read yet what an earlier one has left: what it
-// sent now would replace that.
+// A keeper probes the agent before it has read the checkpoint of an earlier process. A
+// checkpoint sent now would overwrite that one.
 func TestNoCheckpointBeforePreviousIsRead(t *testing.T) {
 	tr := newRestartedTracker()
 	sendHeartbeat(tr, testNow+5, 500, 80)
@@ -170,26 +171,27 @@
 		return parts
 	}
 	if sent(testNow+1300) != 0 {
-		t.Error("an entry is sent before the earlier one was read")
+		t.Error("a checkpoint is sent before the earlier one was read")
 	}
 	tr.Restore(testNow+1350, testWallClock, previousEntry(5))
 	if sent(testNow+1400) != 1 {
-		t.Error("no entry is sent after the earlier one was read")
+		t.Error("no checkpoint is sent after the earlier one was read")
 	}
 	if sent(testNow+1500) != 0 {
-		t.Error("an entry is sent again at once")
+		t.Error("a checkpoint is sent again at once")
 	}
 	if sent(testNow+2600) != 1 {
-		t.Error("an entry is not sent again although nobody has said that it is kept")
+		t.Error("a checkpoint is not sent again although it was not acknowledged")
 	}
 	tr.HandleParcel(testNow+2650, worldAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: 2}}, nil)
 	if sent(testNow+4000) != 0 {
-		t.Error("an entry is sent again although it is kept")
+		t.Error("a checkpoint is sent again although it was acknowledged")
 	}
 }
 
-// The agent has read what is there, but its target has spoken once only and may be a
-// process of before: nothing is judged, and nothing may be replaced yet.
+// The agent has read the checkpoint, but has received a single heartbeat, which may be from
+// an earlier target process. There is no verdict yet, and the checkpoint must not be
+// overwritten.
 func TestNoCheckpointBeforePreviousIsJudged(t *testing.T) {
 	tr := newRestartedTracker()
 	tr.Restore(testNow, testWallClock, previousEntry(3))
@@ -203,7 +205,7 @@
 	tr.Tick(testNow + 30)
 	for _, s := range tr.Take().Sends {
 		if s.Parcel.Verb == wire.Verb_VERB_KEEP {
-			t.Error("an entry is sent before the earlier one was judged")
+			t.Error("a checkpoint is sent before there is a verdict on the earlier one")
 		}
 	}
 }
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -9,15 +9,15 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// worldObject is the sheet of a failure domain in the platform's store: the present
-// one, and the one before, which a stale read may still return.
+// simObject is the sheet of a failure domain in the platform's store, with its previous
+// version, which a stale read may return.
 type simObject struct {
 	revision int
 	data     []byte
 	before   []byte
 }
 
-// write replaces the sheet if it is still the one that the writer saw.
+// write replaces the sheet unless it has changed since the writer read it.
 func (o *simObject) write(seen int, data []byte) bool {
 	if o.revision != seen {
 		return false
@@ -42,12 +42,12 @@
 	}
 	s := &checkpoint.Sheet{}
 	if err := json.Unmarshal(data, s); err != nil {
-		w.fail("a sheet cannot be read: %v", err)
+		w.fail("cannot decode a sheet: %v", err)
 	}
 	return s
 }
 
-// restores lets an agent read what is kept, now and then late or from an old copy.
+// restoreCheckpoint lets an agent read its checkpoint, sometimes late or from a stale copy.
 func (w *world) restoreCheckpoint(a *worldAgent) {
 	tr := a.holder
 	delay := clock.Millis(2 + w.random.IntN(60))
@@ -72,8 +72,8 @@
 	})
 }
 
-// keeps lets a balancer keep the checkpoints of its failure domain while it is the
-// first one there. Two may think so for a moment.
+// runKeeper lets a balancer store the checkpoints of its failure domain while it is the
+// first one there. Two balancers may do so for a moment.
 func (w *world) runKeeper(b *worldBalancer) {
 	s := b.steerer
 	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: 1 << 20, Life: worldLife, Writes: 10})
@@ -111,14 +111,14 @@
 	return nil
 }
 
-// writes writes what is due and returns the revision that the balancer knows then. A
-// write may be carried out seconds later, and its answer may be lost.
+// writeDueSheets writes the sheets that are due and returns the revision then known to the
+// balancer. A write may take effect seconds later, and its response may be lost.
 func (w *world) writeDueSheets(b *worldBalancer, k *checkpoint.Keeper, seen int) int {
 	o := w.storedObject(b.domain)
 	for _, sheet := range k.Due(w.now) {
 		data, err := json.Marshal(sheet)
 		if err != nil {
-			w.fail("a sheet cannot be written: %v", err)
+			w.fail("cannot encode a sheet: %v", err)
 		}
 		known := seen
 		switch {
@@ -146,17 +146,17 @@
 	}
 }
 
-// hearKeep gives a balancer a part of an agent's checkpoint.
+// handleCheckpoint passes a part of an agent's checkpoint to a balancer.
 func (w *world) handleCheckpoint(b *worldBalancer, from netip.AddrPort, c *wire.Checkpoint) {
 	if !b.steerer.Keeper() {
 		return
 	}
 	if err := b.keeper.Hear(w.now, int64(w.now), from, c); err != nil {
-		w.fail("a checkpoint cannot be read: %v", err)
+		w.fail("cannot handle a checkpoint: %v", err)
 	}
 }
 
-// power takes all VMs away at once; callers stay.
+// losePower kills all VMs at once; callers stay.
 func (w *world) losePower() {
 	for _, b := range w.balancers {
 		w.killBalancer(b)
--- a/internal/connection/stream/summary.go
+++ b/internal/connection/stream/summary.go
@@ -9,49 +9,53 @@
 )
 
 const (
-	// coverFor is how long a summary stands in for probes: four of one relay.
+	// summaryTTL is how long a summary replaces probes: four summaries of one relay.
 	summaryTTL = 2 * clock.Second
-	// coverSoon is how long a target elsewhere that was only named waits for a summary
-	// until it is probed: a few round trips between failure domains.
+	// firstSummaryWait is how long a remote target that was only named waits for a summary
+	// before it is probed: a few round trips between failure domains.
 	firstSummaryWait = 300 * clock.Millis(1)
-	// departedFor is how long summaries name a target that has left: several of them
+	// departureRetention is how long summaries list a target that has left: several of them
 	// may be lost.
 	departureRetention = 2 * clock.Second
-	// lateFor is how late a summary may be that still tells of a target as it was before it
-	// left. What says later that it is there tells of another one, also where the clock of
-	// its VM was set back meanwhile.
+	// maxSummaryDelay is the maximum delay of a summary that still describes a target as it
+	// was before it left. A later one that lists the target describes another target, even
+	// if the VM's clock was set back in between.
 	maxSummaryDelay = 3 * clock.Second
-	// namedEvery is which summary of all targets has their names: only logs want them.
+	// nameInterval is the number of full summaries of which one includes the targets'
+	// names: they are used only in logs.
 	nameInterval = 4
-	// summarySize keeps a part of a summary within one frame.
+	// maxSummaryPartSize keeps a part of a summary within one frame.
 	maxSummaryPartSize = 1200
-	// mostNews bounds the changes that wait for the next summary of changes; a summary
-	// of all targets tells what is over it.
+	// maxChanges bounds the changes queued for the next incremental summary; the next full
+	// summary includes the rest.
 	maxChanges = 1024
-	// mostSummaries bounds the failure domains whose summaries are remembered, and
-	// mostParts the parts of one: as many targets as may be known. Anybody may send one.
+	// maxSummaries bounds the failure domains whose summaries are tracked, and
+	// maxSummaryParts the parts of one: enough for the maximum number of targets. The
+	// bounds are needed since anyone can send a summary.
 	maxSummaries    = 64
 	maxSummaryParts = 1024
 )
 
-// summary is how far a summary of all targets of a failure domain has arrived.
+// summaryState tracks the arrival of the full summaries of a failure domain.
 type summaryState struct {
 	epoch  uint64
 	number uint32
 	parts  map[uint32]bool
-	// complete is when all parts of one were there whose sender knew all targets.
+	// completeAt is when all parts of a full summary had arrived whose sender knew all
+	// targets.
 	completeAt clock.Millis
-	// relay is the balancer that gathered the last one, at told; none did if that is zero.
+	// relay is the balancer that sent the last summary, at relayHeardAt; none did if that
+	// is zero.
 	relay        netip.AddrPort
 	relayHeardAt clock.Millis
 }
 
-// told reports that balancers elsewhere are to be told at once.
+// urgent reports whether remote balancers must be told at once.
 func (c TargetChange) urgent() bool {
 	return c.New || c.Restarted || c.Left || c.Condition
 }
 
-// entry is a report as a summary tells it.
+// summaryEntry returns the entry of a summary for a report.
 func summaryEntry(a netip.AddrPort, r *wire.Report, age, silent clock.Millis) *wire.Entry {
 	return &wire.Entry{
 		Address: segment.AppendAddress(nil, a), Age: uint32(max(age, 0)), Silent: uint32(max(silent, 0)),
@@ -63,7 +67,7 @@
 	}
 }
 
-// report is the target as its agent told it last.
+// report returns the target's state as last reported by its agent.
 func (t *Target) report(now clock.Millis) *wire.Report {
 	return &wire.Report{
 		Name: t.Name, Service: t.Service, Epoch: t.Epoch, Sequence: t.Sequence, Born: t.Born,
@@ -73,7 +77,8 @@
 	}
 }
 
-// silence is for how long the target has left probes unanswered, once it is suspected.
+// silence returns how long the target has left probes unanswered; zero unless it is
+// suspected.
 func (t *Target) silence(now clock.Millis) clock.Millis {
 	if !t.Suspected(now) {
 		return 0
@@ -81,12 +86,12 @@
 	return max(now.Sub(t.unansweredSince), 1)
 }
 
-// covered reports that a target elsewhere needs no probe of this balancer: balancers of
-// its failure domain tell how it does.
+// coveredBySummary reports whether summaries from a remote target's failure domain replace
+// this balancer's probes.
 //
-// Probes of each balancer to each target would grow with the product of both. What
-// summaries cannot prove is still asked directly: that a target is lost, and whether its
-// agent knows what an earlier process did.
+// Probes from each balancer to each target would grow with the product of both. Some things
+// cannot be learned from summaries and still take a probe: whether a target is lost, and
+// whether its agent knows what an earlier process opened.
 func (ts *Targets) coveredBySummary(now clock.Millis, t *Target) bool {
 	if t.Domain == ts.domain || t.unansweredSince != 0 || t.unresponsiveAt != 0 || t.previousUnreported {
 		return false
@@ -97,8 +102,8 @@
 	return t.respondingAt != 0 && now.Sub(t.respondingAt) <= summaryTTL
 }
 
-// summarize returns the targets of the own failure domain, and those that have just
-// left it.
+// summarize returns the targets of the local failure domain and those that have just left
+// it.
 func (ts *Targets) summarize(now clock.Millis) []*wire.Entry {
 	var all []*wire.Entry
 	for _, t := range ts.Sorted() {
@@ -114,10 +119,11 @@
 	return all
 }
 
-// Summarized takes an entry of a summary of another failure domain.
+// ApplySummaryEntry applies an entry of a summary of another failure domain.
 //
-// Summaries come late, twice and from several balancers; the agents' epochs and counts of
-// reports tell which one is later. One of an earlier process says nothing of this one.
+// Summaries can be late, duplicated and sent by several balancers; epochs and sequence
+// numbers of the agents show which report is later. An entry for an earlier process is
+// ignored.
 func (ts *Targets) ApplySummaryEntry(now clock.Millis, a netip.AddrPort, r *wire.Report, age, silent clock.Millis) TargetChange {
 	if d, ok := ts.departed[a]; ok && !madeAfter(r, d.report) && now.Sub(d.at) < maxSummaryDelay {
 		return TargetChange{}
@@ -151,19 +157,19 @@
 	return c
 }
 
-// after reports that a report was made after the one with which its target left.
+// madeAfter reports whether a report is later than the one with which its target left.
 func madeAfter(r, left *wire.Report) bool {
 	return r.Epoch > left.Epoch || r.Epoch == left.Epoch && r.Sequence > left.Sequence
 }
 
-// Complete reports that a balancer of another failure domain that knows all targets
-// there has told this one of them lately.
+// Complete reports whether a balancer of another failure domain that knows all targets
+// there has recently sent a full summary.
 func (ts *Targets) Complete(now clock.Millis, domain string) bool {
 	s := ts.summaries[domain]
 	return s != nil && s.completeAt != 0 && now.Sub(s.completeAt) <= summaryTTL
 }
 
-// arrived notes a summary of another failure domain.
+// recordSummary records the arrival of a summary of another failure domain.
 func (ts *Targets) recordSummary(now clock.Millis, m *wire.Summary) {
 	s := ts.summaries[m.Domain]
 	if s == nil {
@@ -181,7 +187,7 @@
 	}
 }
 
-// part notes a part of a summary of all targets.
+// recordPart records the arrival of a part of a full summary.
 func (s *summaryState) recordPart(now clock.Millis, m *wire.Summary) {
 	if s.epoch != m.Epoch || s.number != m.Number {
 		s.epoch, s.number, s.parts = m.Epoch, m.Number, map[uint32]bool{}
@@ -194,8 +200,8 @@
 	}
 }
 
-// FarAge returns how many targets of other failure domains answer, and how old what is
-// known of them is on the mean.
+// RemoteAge returns the number of remote targets that respond and the mean age of their
+// reports.
 func (ts *Targets) RemoteAge(now clock.Millis) (count int, age clock.Millis) {
 	for _, t := range ts.known {
 		if t.Domain != ts.domain && !t.Suspected(now) {
@@ -206,8 +212,7 @@
 	return count, age / clock.Millis(max(count, 1))
 }
 
-// SetRelay tells whether this balancer tells other failure domains of the targets of its
-// own.
+// SetRelay sets whether this balancer sends summaries of its failure domain to others.
 func (s *Steerer) SetRelay(relay bool) {
 	s.relay = relay
 	if !relay {
@@ -215,18 +220,17 @@
 	}
 }
 
-// spread keeps a change of a target of the own failure domain for the next summary of
-// changes.
+// queueChange queues a change of a local target for the next incremental summary.
 func (s *Steerer) queueChange(e *wire.Entry) {
 	if s.relay && len(s.news) < maxChanges {
 		s.news = append(s.news, e)
 	}
 }
 
-// noteLoads adds the targets of the own failure domain whose slots are in use, or were when
-// they were told last, to the next summary of changes.
+// queueLoads queues the local targets whose slots are in use, or were when last sent, for
+// the next incremental summary.
 //
-// Balancers elsewhere would all choose the target that had room half a second ago.
+// Otherwise remote balancers would all choose the target that had room half a second ago.
 func (s *Steerer) queueLoads(now clock.Millis) {
 	for _, t := range s.Targets.Sorted() {
 		if t.Domain != s.settings.Domain || t.HeardAt == 0 {
@@ -240,14 +244,14 @@
 	}
 }
 
-// HasNews reports that a target of the own failure domain has changed in a way that
-// balancers elsewhere are to be told at once.
+// HasChanges reports whether remote balancers must be told at once of a change of a local
+// target.
 func (s *Steerer) HasChanges() bool {
 	return len(s.news) > 0
 }
 
-// News returns these targets in summaries of changes. With loads they tell of those whose
-// slots are in use as well; there may be none then.
+// Changes returns the queued changes as incremental summaries. With loads it adds the
+// targets whose slots are in use. The result may be nil.
 func (s *Steerer) Changes(now clock.Millis, loads bool) []*wire.Summary {
 	if loads {
 		s.queueLoads(now)
@@ -267,8 +271,8 @@
 	}
 }
 
-// Summary returns all targets of the own failure domain. number counts such summaries,
-// and complete tells that this balancer knows all targets there.
+// Summary returns a full summary of the local failure domain, in parts. number is its
+// number, and complete tells that this balancer knows all targets there.
 func (s *Steerer) Summary(now clock.Millis, epoch uint64, number uint32, complete bool) []*wire.Summary {
 	s.news = nil
 	entries := s.Targets.summarize(now)
@@ -283,7 +287,7 @@
 	return parts
 }
 
-// parts cuts entries into summaries of a frame; there is one at least.
+// split divides entries into summaries that fit into one frame each, at least one.
 func (s *Steerer) split(entries []*wire.Entry) []*wire.Summary {
 	var parts []*wire.Summary
 	size := maxSummaryPartSize
@@ -310,7 +314,7 @@
 	return m
 }
 
-// HearSummary takes a summary of another failure domain.
+// HandleSummary handles a summary of another failure domain.
 func (s *Steerer) HandleSummary(now clock.Millis, m *wire.Summary) {
 	if m.Domain == s.settings.Domain {
 		return
--- a/internal/connection/stream/summary_test.go
+++ b/internal/connection/stream/summary_test.go
@@ -9,7 +9,8 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// summarized is a balancer of failure domain a that knows targets of b by summaries.
+// newSummarizedSteerer returns a balancer of failure domain a that knows targets of b from
+// summaries.
 func newSummarizedSteerer(t *testing.T, targets int) *Steerer {
 	t.Helper()
 	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
@@ -19,7 +20,8 @@
 	return s
 }
 
-// ready is a report of a process of an agent, by its start and the report's number.
+// readyReport returns the report of a ready target, given the agent's epoch and the
+// sequence number.
 func readyReport(epoch, sequence uint64) *wire.Report {
 	return &wire.Report{
 		Service: "one", Epoch: epoch, Sequence: sequence, Born: 1, Condition: wire.Condition_CONDITION_READY, Slots: 2,
@@ -31,7 +33,8 @@
 	return &wire.Summary{Domain: "b", Entries: []*wire.Entry{summaryEntry(worldAddress(2, target), r, 0, silent)}}
 }
 
-// probes counts the probes that a balancer sends in a span, by target.
+// countProbes returns the number of probes that a balancer sends to each target in a time
+// span.
 func countProbes(s *Steerer, from, to clock.Millis, each func(now clock.Millis)) map[netip.AddrPort]int {
 	all := map[netip.AddrPort]int{}
 	for now := from; now < to; now += 50 {
@@ -44,31 +47,31 @@
 	return all
 }
 
-// Hundreds of targets are in other failure domains, and balancers there tell how they do.
-// This one need not ask any of them itself; once it is no longer told, it does.
+// Summaries cover hundreds of targets in other failure domains. The balancer need not probe
+// any of them until the summaries stop.
 func TestSummariesReplaceProbes(t *testing.T) {
 	const targets = 200
 	s := newSummarizedSteerer(t, targets)
 	sequence := uint64(1)
 	end := testNow + 10*clock.Second
-	asked := countProbes(s, testNow, end, func(now clock.Millis) {
+	probed := countProbes(s, testNow, end, func(now clock.Millis) {
 		sequence++
 		for i := range targets {
 			s.HandleSummary(now, changeSummary(i, readyReport(1, sequence), 0))
 		}
 	})
-	if len(asked) > 0 {
-		t.Errorf("%d targets were probed although they were told of", len(asked))
+	if len(probed) > 0 {
+		t.Errorf("%d targets were probed although summaries covered them", len(probed))
 	}
-	asked = countProbes(s, end, end+summaryTTL+clock.Second, func(clock.Millis) {})
-	if len(asked) != targets {
-		t.Errorf("%d of %d targets were probed after the last summary", len(asked), targets)
+	probed = countProbes(s, end, end+summaryTTL+clock.Second, func(clock.Millis) {})
+	if len(probed) != targets {
+		t.Errorf("%d of %d targets were probed after the last summary", len(probed), targets)
 	}
 }
 
-// A relay leaves probes of a target unanswered, because the target is lost or the relay
-// is cut off from it. The target gets no openings and is asked directly; only its own
-// silence makes it count as lost, and its answer makes it count as there.
+// A target does not answer a relay's probes, because the target is lost or the relay is cut
+// off from it. The target gets no openings and is probed directly. Only its silence towards
+// this balancer makes it lost, and an answer clears the suspicion.
 func TestSummaryOfUnresponsiveTarget(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		s := newSummarizedSteerer(t, 2)
@@ -94,8 +97,8 @@
 	}
 }
 
-// Summaries come late, twice, out of order and from two relays, one of which has not
-// heard yet what the other one has. The later word of the agent stands.
+// Summaries arrive late, duplicated, out of order and from two relays with different
+// knowledge. The agent's latest report takes precedence.
 func TestSummariesOutOfOrder(t *testing.T) {
 	draining := func(epoch, sequence uint64) *wire.Report {
 		r := readyReport(epoch, sequence)
@@ -133,9 +136,10 @@
 	}
 }
 
-// A target leaves and another one takes its address, on a VM whose clock was set back, so
-// its agent's start lies before that of the one that left. It must become known all the
-// same, and until then the balancer must not take itself to know all that others name.
+// A target leaves and another takes its address, on a VM whose clock was set back, so its
+// agent's epoch is smaller than that of the one that left. It must become known
+// nevertheless; until then the balancer must not believe that it knows all targets named by
+// others.
 func TestAddressReusedAfterClockStep(t *testing.T) {
 	s := newSummarizedSteerer(t, 1)
 	at := worldAddress(2, 0)
@@ -145,38 +149,39 @@
 	now := testNow + clock.Second
 	s.HandleSummary(now, changeSummary(0, readyReport(2, 1), 0))
 	if _, ok := s.Targets.Find(at); ok {
-		t.Error("a summary of before took the target back")
+		t.Error("an earlier summary added the target again")
 	}
 	if !s.Targets.Learn(now, at, "t0", "b", "one") {
-		t.Error("a target that others name counts as known")
+		t.Error("a target named by others counts as known")
 	}
 	now = testNow + maxSummaryDelay
 	s.HandleSummary(now, changeSummary(0, readyReport(2, 8), 0))
 	if target, ok := s.Targets.Find(at); !ok || !target.AcceptsFlows(now) {
-		t.Errorf("the target that is there now: %+v", target)
+		t.Errorf("the new target at the address: %+v", target)
 	}
 }
 
-// An agent is started anew and only a balancer elsewhere remembers the process before,
-// which opened flows that the new one never saw. It asks the agent once itself, so that
-// the agent does not deny them.
+// An agent has restarted, and only a remote balancer knows the earlier process, which
+// opened flows that the new one has not seen. The balancer must probe the agent once
+// itself, so that the agent does not deny them.
 func TestSummaryOfRestartedAgent(t *testing.T) {
 	s := newSummarizedSteerer(t, 1)
 	s.HandleSummary(testNow+10, changeSummary(0, readyReport(2, 1), 0))
 	s.Tick(testNow + 20)
-	var told []*wire.Report
+	var probes []*wire.Report
 	for _, send := range s.Take().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_PROBE {
-			told = append(told, send.Parcel.Report)
+			probes = append(probes, send.Parcel.Report)
 		}
 	}
-	if len(told) != 1 || told[0].Epoch != 1 || told[0].Born != 1 {
-		t.Errorf("the agent was told %v, want the process of before", told)
+	if len(probes) != 1 || probes[0].Epoch != 1 || probes[0].Born != 1 {
+		t.Errorf("probes %v, want one that names the earlier process", probes)
 	}
 }
 
-// A target drains, falls silent or leaves: the relay has a summary for other failure
-// domains at once, and names the one that has left for as long as summaries may be lost.
+// A target drains, stops responding or leaves. The relay must have a summary for other
+// failure domains at once, and list a target that left for as long as summaries may be
+// lost.
 func TestRelaySendsChanges(t *testing.T) {
 	s := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
 	s.SetRelay(true)
@@ -189,18 +194,18 @@
 		t.Helper()
 		parts := s.Changes(testNow, false)
 		if len(parts) != 1 || len(parts[0].Entries) != 1 {
-			t.Fatalf("told %v, want one change", parts)
+			t.Fatalf("changes %v, want one", parts)
 		}
 		e := parts[0].Entries[0]
 		if e.Report.Condition != condition || e.Silent > 0 != silent {
-			t.Errorf("told %v", e)
+			t.Errorf("unexpected entry %v", e)
 		}
 	}
 	report(testNow, 1, wire.Condition_CONDITION_READY)
 	want(wire.Condition_CONDITION_READY, false)
 	report(testNow+10, 2, wire.Condition_CONDITION_READY)
 	if s.HasChanges() {
-		t.Error("a report that changes nothing is told at once")
+		t.Error("a report without a change is sent at once")
 	}
 	report(testNow+20, 3, wire.Condition_CONDITION_DRAINING)
 	want(wire.Condition_CONDITION_DRAINING, false)
@@ -214,13 +219,14 @@
 	for i, at := range []clock.Millis{now + departureRetention - 1, now + departureRetention + 1} {
 		entries := s.Summary(at, 1, uint32(i+1), true)[0].Entries
 		if named := len(entries) == 1; named != (i == 0) {
-			t.Errorf("%d ms after it left, the target is named: %v", at.Sub(now), named)
+			t.Errorf("%d ms after it left, the target is listed: %v", at.Sub(now), named)
 		}
 	}
 }
 
-// A target's slots are in use, and the flows of another failure domain leave it. Balancers
-// there hear of it with the next summary of changes, and once more when there is room.
+// A target's slots are in use, and flows leave another failure domain for it. Balancers
+// there must learn of it with the next incremental summary, and once more when there is
+// room.
 func TestRelaySendsLoads(t *testing.T) {
 	s := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
 	s.SetRelay(true)
@@ -232,17 +238,17 @@
 	report(1, 0)
 	s.Changes(testNow, true)
 	for i, c := range []struct {
-		busy uint32
-		told bool
+		busy     uint32
+		included bool
 	}{{0, false}, {2, true}, {2, true}, {0, true}, {0, false}} {
 		report(uint64(i+2), c.busy)
-		if told := len(s.Changes(testNow, true)) == 1; told != c.told {
-			t.Errorf("report %d, with %d requests under way: told %v", i, c.busy, told)
+		if included := len(s.Changes(testNow, true)) == 1; included != c.included {
+			t.Errorf("report %d, with %d requests in progress: sent %v", i, c.busy, included)
 		}
 	}
 }
 
-// Names are in one of four summaries, and what is known stays.
+// One of four summaries contains names; the others must not erase them.
 func TestSummaryKeepsNames(t *testing.T) {
 	relay := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
 	r := readyReport(1, 1)
@@ -257,16 +263,16 @@
 		}
 		s.HandleSummary(testNow, part)
 		if target, _ := s.Targets.Find(worldAddress(2, 0)); target.Name != "t0" {
-			t.Errorf("after summary %d the target is called %q", number+1, target.Name)
+			t.Errorf("name of the target after summary %d: %q", number+1, target.Name)
 		}
 	}
 	if named != 2 {
-		t.Errorf("%d of 8 summaries have names", named)
+		t.Errorf("%d of 8 summaries contain names", named)
 	}
 }
 
-// A failure domain has more targets than one frame takes, and a part of the summary of
-// all of them is lost. The receiver must not believe that it knows all.
+// The full summary of a failure domain does not fit into one frame, and a part of it is
+// lost. The receiver must not believe that it knows all targets.
 func TestCompleteNeedsAllParts(t *testing.T) {
 	const targets = 470
 	relay := NewSteerer(0, Settings{Domain: "b", Flows: 100, FlowLife: worldLife})
@@ -280,7 +286,7 @@
 	for number, lost := range []int{3, -1} {
 		for i, part := range relay.Summary(testNow, 1, uint32(number+1), true) {
 			if size := (&wire.Parcel{Verb: wire.Verb_VERB_SUMMARY, Summary: part}).SizeVT(); size > frame {
-				t.Errorf("a part takes %d bytes", size)
+				t.Errorf("size of a part: %d bytes", size)
 			}
 			if i != lost {
 				s.HandleSummary(testNow, part)
@@ -295,9 +301,9 @@
 	}
 }
 
-// A failure domain is overloaded and its flows leave it. What is known of targets
-// elsewhere was gathered before the last flows were sent there: these count until a
-// summary that was made after them.
+// Flows leave an overloaded failure domain. The reports on remote targets were made before
+// the last flows were placed there, so these still count until a summary that was made
+// after them.
 func TestPlacedFlowsOutliveSummary(t *testing.T) {
 	s := newSummarizedSteerer(t, 2)
 	table := s.Targets
@@ -309,27 +315,28 @@
 	first, _ := table.Find(worldAddress(2, 0))
 	second, _ := table.Find(worldAddress(2, 1))
 	if a, b := table.cost(testNow+10, first, each), table.cost(testNow+10, second, each); a < b {
-		t.Errorf("the target just told of costs %.2f, the other one %.2f, with as many flows placed", a, b)
+		t.Errorf("the target in the summary costs %.2f, the other one %.2f, with as many flows placed", a, b)
 	}
 	s.HandleSummary(testNow+500, changeSummary(0, readyReport(1, 3), 0))
 	if got := table.cost(testNow+500, first, each); got != 0 {
-		t.Errorf("the flows placed before the last summary but one still cost %.2f", got)
+		t.Errorf("flows placed before the last but one summary still cost %.2f", got)
 	}
 }
 
-// Anybody may send summaries, of ever new failure domains and in ever more parts.
+// Anyone can send summaries, for ever new failure domains and with ever more parts. What is
+// stored must stay bounded.
 func TestSummariesAreBounded(t *testing.T) {
 	s := NewSteerer(0, Settings{Domain: "a", Flows: 100, FlowLife: worldLife})
 	for i := range 3 * maxSummaries {
 		s.HandleSummary(testNow, &wire.Summary{Domain: fmt.Sprint("d", i), Number: 1, Parts: 1})
 	}
 	if got := len(s.Targets.summaries); got > maxSummaries {
-		t.Errorf("%d failure domains are remembered", got)
+		t.Errorf("%d failure domains are tracked", got)
 	}
 	for i := range 3 * maxSummaryParts {
 		s.HandleSummary(testNow, &wire.Summary{Domain: "d0", Number: 2, Part: uint32(i), Parts: 3 * maxSummaryParts})
 	}
 	if got := len(s.Targets.summaries["d0"].parts); got > maxSummaryParts {
-		t.Errorf("%d parts of a summary are remembered", got)
+		t.Errorf("%d parts of a summary are tracked", got)
 	}
 }
--- a/internal/connection/stream/target.go
+++ b/internal/connection/stream/target.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// suspectAfter is how long the first unanswered probe may be old. Four
-	// probes are lost by then: at 3 % loss one suspicion in a million is false.
+	// suspectAfter is the age of the first unanswered probe from which a target is
+	// suspected. Four probes are lost by then: at 3 % loss one suspicion in a million is
+	// false.
 	suspectAfter = 350 * clock.Millis(1)
-	// deadAfter is the silence after which a target counts as lost: its callers
-	// have waited for longer than they have patience for, a second or so. A
-	// planned restart of an agent is announced and does not count.
+	// lostAfter is the silence after which a target counts as lost. Its callers have then
+	// waited longer than they are willing to, about a second. A planned restart of an agent
+	// is announced and does not count.
 	lostAfter = 2500 * clock.Millis(1)
-	// restartFor is how long a planned restart of an agent may take; one takes
-	// less than a second.
+	// restartTimeout bounds a planned restart of an agent, which takes less than a second.
 	restartTimeout = 6 * clock.Second
 )
 
-// Target is one target as a balancer knows it.
+// Target is a balancer's state of one target.
 type Target struct {
-	// Address is where its agent takes parcels.
+	// Address is where the target's agent receives parcels.
 	Address netip.AddrPort
 	Name    string
 	Domain  string
 	Service string
-	// Epoch is the start of the agent's process, Born that of the target.
+	// Epoch is the start time of the agent's process, Born that of the target.
 	Epoch uint64
 	Born  uint64
 	// Sequence counts the agent's reports.
@@ -35,61 +35,63 @@
 	Condition wire.Condition
 	Slots     int
 	Flows     int
-	// Busy is the mean number of requests under way in the last second.
+	// Busy is the mean number of requests in progress in the last second.
 	Busy float64
-	// Serving is how long it takes for a request on the mean; zero when not known.
+	// MeanLatency is the mean latency of a request, or zero if unknown.
 	MeanLatency clock.Millis
-	// ColdUntil is when the target is as fast as it will be.
+	// ColdUntil is when the target reaches its full speed.
 	ColdUntil clock.Millis
-	// Restarting tells that the agent announced its stop.
+	// Restarting is set if the agent announced its stop.
 	Restarting bool
-	// Heard is when the last report arrived, at this balancer or at the one that told
-	// of it; zero if none did.
+	// HeardAt is when the last report arrived at this balancer, or at the relay that
+	// summarized it; zero if none did.
 	HeardAt clock.Millis
 
-	// learned is when the target was named by another balancer.
+	// learnedAt is when another balancer first named the target.
 	learnedAt clock.Millis
-	// told is when a summary of its failure domain last said that it answers, and
-	// doubted when one said that it does not, since the last report.
+	// respondingAt is when a summary of its failure domain last listed the target as
+	// responding; unresponsiveAt is when one listed it as not responding since the last
+	// report.
 	respondingAt   clock.Millis
 	unresponsiveAt clock.Millis
-	// former is the agent's process before the present one. owed tells that the
-	// present one is to be asked about it.
+	// previous is the agent's process before the current one. previousUnreported is set
+	// while the current one has not yet been told of it in a probe.
 	previous           process
 	previousUnreported bool
-	// probed is when the last probe was sent, waiting when the first one was
-	// that has no answer yet, and probe its number.
+	// lastProbe is when the last probe was sent, with number probeNumber; unansweredSince
+	// is when the first unanswered probe was sent.
 	lastProbe       clock.Millis
 	unansweredSince clock.Millis
 	probeNumber     uint64
-	// placed counts the openings that were sent since the last report, here and, as far as
-	// can be expected, by others; earlier are those of before that a report in a summary
-	// may not know of.
+	// placed counts the openings sent since the last report, here and, by estimate, by
+	// other balancers. placedBefore counts earlier ones that a report in a summary may not
+	// include.
 	placed       float64
 	placedBefore float64
-	// room is how many openings more it takes while it is slow after its start, plus one;
-	// zero if it has not said.
+	// room is the number of openings that the target still accepts while it is slow after
+	// its start, plus one; zero if not reported.
 	room int
-	// loaded tells that its slots were in use when balancers elsewhere were told last.
+	// sentLoaded is set if the target's slots were in use when its load was last sent to
+	// remote balancers.
 	sentLoaded bool
-	// noted tells that the target's suspicion was logged.
+	// suspicionLogged is set if the target's suspicion has been logged.
 	suspicionLogged bool
 }
 
-// process is one process of an agent, with the target that it served.
+// process identifies a process of an agent and the target that it served.
 type process struct {
 	epoch uint64
 	born  uint64
 }
 
-// Suspected reports that the target's agent leaves probes unanswered, of this balancer
-// or of one in the target's failure domain, or was never heard.
+// Suspected reports whether the target's agent leaves probes of this balancer or of one in
+// its failure domain unanswered, or has never sent a report.
 func (t *Target) Suspected(now clock.Millis) bool {
 	return t.HeardAt == 0 || t.unresponsiveAt != 0 || t.unansweredSince != 0 && now.Sub(t.unansweredSince) > suspectAfter
 }
 
-// Lost reports that the target was silent for so long that its flows can no
-// longer be served. An agent that said that it restarts has more time.
+// Lost reports whether the target has been silent for so long that its flows can no longer
+// be served. An agent that announced a restart has more time.
 func (t *Target) Lost(now clock.Millis) bool {
 	patience := lostAfter
 	if t.Restarting {
@@ -98,12 +100,12 @@
 	return t.unansweredSince != 0 && now.Sub(t.unansweredSince) > patience
 }
 
-// Opens reports whether the target may be chosen for new flows.
+// AcceptsFlows reports whether the target may be chosen for new flows.
 func (t *Target) AcceptsFlows(now clock.Millis) bool {
 	return t.Condition == wire.Condition_CONDITION_READY && t.responding(now)
 }
 
-// failing reports that the target would take new flows, but fails requests.
+// failing reports whether the target accepts new flows but fails requests.
 func (t *Target) failing(now clock.Millis) bool {
 	return t.Condition == wire.Condition_CONDITION_FAILING && t.responding(now)
 }
--- a/internal/connection/stream/targets.go
+++ b/internal/connection/stream/targets.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// mostTargets bounds the targets that are known: twice as many as are planned
-	// for in two years. Anybody may report one.
+	// maxTargets bounds the known targets: twice the number planned for in two years. The
+	// bound is needed since anyone can send a report.
 	maxTargets = 8192
-	// tombFor is how long a target that left is not taken back on hearsay.
+	// tombstoneTTL is how long a target that left is not added again on another balancer's
+	// word.
 	tombstoneTTL = 60 * clock.Second
 )
 
-// group is the targets of one service, in the order of their addresses.
+// serviceGroup holds the targets of one service, sorted by address.
 type serviceGroup struct {
 	targets []*Target
-	// wanted is when the service last had an opening or a search here.
+	// lastUsed is when this balancer last had an opening or a search for the service.
 	lastUsed clock.Millis
 }
 
@@ -32,7 +33,7 @@
 	report *wire.Report
 }
 
-// Targets is all targets that a balancer knows, by their agents' addresses.
+// Targets holds all targets known to a balancer, by the address of their agent.
 type Targets struct {
 	domain          string
 	known           map[netip.AddrPort]*Target
@@ -40,24 +41,24 @@
 	departed        map[netip.AddrPort]departure
 	lastProbeNumber uint64
 	lastTick        clock.Millis
-	// evacuated are the failure domains in which nothing is opened, and regions those in
-	// which failure domains lie.
+	// evacuated are the failure domains that get no openings; regions maps each failure
+	// domain to its region.
 	evacuated evacuation.Snapshot
 	regions   map[string]string
-	// sharers is how many balancers place flows as this one does.
+	// balancers is the number of balancers that place flows at the local targets.
 	balancers float64
-	// summaries are the last ones of all targets of other failure domains.
+	// summaries tracks the last full summary of each remote failure domain.
 	summaries map[string]*summaryState
-	// sorted is the targets by address; nil after a change.
+	// sorted holds the targets by address; nil after a change.
 	sorted []*Target
 	random *rand.Rand
-	// near and far are room for the candidates of a choice.
+	// near and far are buffers for the candidates of a choice.
 	near, far []candidate
 }
 
-// NewTargets returns an empty set for a balancer in a failure domain; regions tells in
-// which region each one lies. Balancers have different seeds, so that they choose different
-// ones of targets that are alike.
+// NewTargets returns an empty set for a balancer in the given failure domain. regions maps
+// each failure domain to its region. Balancers have different seeds, so that they choose
+// differently among equal targets.
 func NewTargets(domain string, regions map[string]string, seed uint64) *Targets {
 	return &Targets{
 		domain: domain, regions: regions, balancers: 1, random: rand.New(rand.NewPCG(seed, 0)), known: map[netip.AddrPort]*Target{}, groups: map[string]*serviceGroup{},
@@ -65,8 +66,8 @@
 	}
 }
 
-// SetSharers tells how many balancers, this one among them, place flows at the targets of
-// its failure domain. What they place is not known until the targets report.
+// SetBalancers sets the number of balancers, including this one, that place flows at the
+// targets of its failure domain. What the others place is unknown until the targets report.
 func (ts *Targets) SetBalancers(balancers int) {
 	ts.balancers = float64(max(balancers, 1))
 }
@@ -76,20 +77,20 @@
 	return len(ts.known)
 }
 
-// Find returns the target behind an agent's address.
+// Find returns the target of the agent at the given address.
 func (ts *Targets) Find(a netip.AddrPort) (*Target, bool) {
 	t, ok := ts.known[a]
 	return t, ok
 }
 
-// Left reports that a target has left a short while ago.
+// RecentlyLeft reports whether a target left within tombstoneTTL.
 func (ts *Targets) RecentlyLeft(now clock.Millis, a netip.AddrPort) bool {
 	d, ok := ts.departed[a]
 	return ok && now.Sub(d.at) < tombstoneTTL
 }
 
-// Sorted returns the targets in the order of their addresses. The result must not
-// be changed, and holds until a target comes or goes.
+// Sorted returns the targets sorted by address. The result must not be modified and is
+// valid until a target is added or removed.
 func (ts *Targets) Sorted() []*Target {
 	if ts.sorted == nil {
 		ts.sorted = slices.SortedFunc(maps.Values(ts.known), byAddress)
@@ -101,14 +102,15 @@
 	return a.Address.Compare(b.Address)
 }
 
-// Each calls f for every target, in no order.
+// Each calls f for each target, in no particular order.
 func (ts *Targets) Each(f func(*Target)) {
 	for _, t := range ts.known {
 		f(t)
 	}
 }
 
-// want returns the targets of a service and notes that they are in use here.
+// useService returns the targets of a service and marks the service as used by this
+// balancer.
 func (ts *Targets) useService(now clock.Millis, service string) []*Target {
 	g := ts.groups[service]
 	if g == nil {
@@ -146,9 +148,10 @@
 	}
 }
 
-// Learn adds a target on hearsay, and reports whether it was not known. It is probed before
-// it is used. One that left a short while ago is not taken back, for the teller may not know
-// yet; nor does it count as known, for another one may be there by now.
+// Learn adds a target named by another balancer and reports whether it was unknown. It is
+// probed before use. A target that left recently is not added, since the other balancer may
+// not know that it left; it is reported as unknown, since another target may have taken its
+// address.
 func (ts *Targets) Learn(now clock.Millis, a netip.AddrPort, name, domain, service string) bool {
 	if _, ok := ts.known[a]; ok || len(ts.known) >= maxTargets {
 		return false
@@ -160,17 +163,16 @@
 	return true
 }
 
-// Change tells what a report changed.
+// TargetChange describes what a report changed.
 type TargetChange struct {
-	// New, Reborn and Left tell that the target is new, has started anew, or
-	// is gone.
+	// New, Restarted and Left are set if the target is new, has restarted or has left.
 	New, Restarted, Left bool
-	// Condition tells that its condition is another one.
+	// Condition is set if the target's condition changed.
 	Condition bool
 }
 
-// Report takes what an agent says of its target. A report that was overtaken by
-// a later one changes nothing.
+// ApplyReport applies an agent's report on its target. It ignores a report that arrives
+// after a later one.
 func (ts *Targets) ApplyReport(now clock.Millis, from netip.AddrPort, r *wire.Report) TargetChange {
 	t, ok := ts.known[from]
 	if ok && t.HeardAt != 0 && isStale(t, r) {
@@ -206,9 +208,9 @@
 	return c
 }
 
-// overtaken reports that a later report of the same process, or one of a later
-// process, was heard. An earlier process of the same agent has an older epoch;
-// clocks of VMs step, so that counts only while the later one still answers.
+// isStale reports whether a later report of the same process or of a later process has
+// arrived. An earlier process of the same agent has a smaller epoch. Since VM clocks can
+// step, this counts only while the later process answers probes.
 func isStale(t *Target, r *wire.Report) bool {
 	if r.Epoch == t.Epoch {
 		return r.Sequence <= t.Sequence
--- a/internal/connection/stream/tracker.go
+++ b/internal/connection/stream/tracker.go
@@ -14,43 +14,43 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// window is how far an acknowledgement may be ahead of the first sequence
+// maxAckAhead is the largest distance of an acknowledgement from the initial sequence
 // number: 64 packets of 1,200 bytes.
 const maxAckAhead = 76_800
 
-// HolderSettings are what a Holder is told at start.
+// TrackerSettings configures a Tracker.
 type TrackerSettings struct {
 	Name    string
 	Domain  string
 	Service string
-	// Epoch is the start of this process.
+	// Epoch is the start time of this process.
 	Epoch uint64
-	// Port is where balancers take parcels; a returned packet carries only
-	// the address.
+	// Port is where balancers receive parcels; the echo of a returned packet holds only the
+	// address.
 	Port uint16
-	// Flows bounds the flows that are remembered.
+	// MaxFlows bounds the number of tracked flows.
 	MaxFlows int
-	// FlowLife is how long a flow may live.
+	// FlowTTL is the maximum lifetime of a flow.
 	FlowTTL clock.Millis
-	// Heartbeat is the pause between two heartbeats of the target, and SilentAfter
-	// how long it may miss them until it gets no new flows.
+	// Heartbeat is the target's heartbeat interval. A target gets no new flows once no
+	// heartbeat has arrived for HeartbeatTimeout.
 	Heartbeat        clock.Millis
 	HeartbeatTimeout clock.Millis
-	// Checkpoint tells that the target's flows are kept in the platform's store.
+	// Checkpoint enables checkpoints of the target's flows in the platform's store.
 	Checkpoint bool
 }
 
-// held is what an agent knows of one flow of its target.
+// trackedFlow is the agent's state of one flow of its target.
 type trackedFlow struct {
-	// from is the balancer that sent the flow's last packet.
+	// balancer sent the flow's last packet.
 	balancer netip.AddrPort
-	// seq is the sequence number that the target accepted the opening with.
+	// seq is the sequence number with which the target accepted the opening.
 	seq      uint32
 	accepted bool
-	// open tells that the caller's acknowledgement has reached the target.
+	// open is set once the caller's acknowledgement has reached the target.
 	open bool
-	// guess tells that the agent never saw the flow begin, and the target has
-	// not shown yet that it holds it.
+	// unverified is set if the agent did not see the opening and the target has not yet
+	// shown that it holds the flow.
 	unverified bool
 	ack        uint32
 	lastIn     clock.Millis
@@ -64,40 +64,41 @@
 	return max(f.lastIn, f.lastOut)
 }
 
-// Holder is an agent's decisions. It belongs to one process and is not safe for
-// concurrent use.
+// Tracker tracks the flows and the state of an agent's target and decides what the agent
+// does with each packet and parcel. It is not safe for concurrent use.
 type Tracker struct {
 	settings TrackerSettings
 	flows    *simplelru.LRU[segment.Flow, *trackedFlow]
-	// working are the flows with a request under way, and active how many were
-	// in use at the last sweep.
+	// busyFlows are the flows with a request in progress; activeFlows is the number of
+	// flows in use at the last sweep.
 	busyFlows   map[segment.Flow]*trackedFlow
 	activeFlows int
 	lastSweep   clock.Millis
-	// denied are flows that the target has returned packets of.
+	// denied are flows whose packets the target has returned, or that ended with an earlier
+	// target.
 	denied      *simplelru.LRU[segment.Flow, struct{}]
 	upstream    upstream
 	checkpoints checkpointState
-	// gate tells whether the failure domain is evacuated; window bounds what the target
-	// is handed while it is slow after its start, at rate.
+	// gate is closed while the failure domain is evacuated. window limits openings to
+	// warmingRate a second while the target is slow after its start.
 	gate        evacuation.Gate
 	window      admission.Window
 	warmingRate int
-	// told is the target's condition that balancers were told last.
+	// reportedCondition is the target's condition last reported to balancers.
 	reportedCondition wire.Condition
 	sequence          uint64
 	sawAllFlows       bool
 	stopping          bool
 	startedAt         clock.Millis
-	// load is the mean of the requests under way, and sampled when it was taken.
+	// load is the mean number of requests in progress, lastSample when it was updated.
 	load       float64
 	lastSample clock.Millis
-	// serving is the mean time of a request, in milliseconds.
+	// meanLatency is the mean latency of a request in milliseconds.
 	meanLatency float64
 	out         Outcome
 }
 
-// NewHolder returns a Holder that knows nothing of its target yet.
+// NewTracker returns a Tracker without any state of its target.
 func NewTracker(now clock.Millis, settings TrackerSettings) *Tracker {
 	tr := &Tracker{settings: settings, startedAt: now, busyFlows: map[segment.Flow]*trackedFlow{}}
 	tr.checkpoints = checkpointState{enabled: settings.Checkpoint, writer: checkpoint.NewWriter()}
@@ -106,19 +107,19 @@
 	return tr
 }
 
-// Take returns what is to be done since the last call.
+// Take returns the actions and events collected since the last call.
 func (tr *Tracker) Take() Outcome {
 	out := tr.out
 	tr.out = Outcome{}
 	return out
 }
 
-// Hear takes a parcel of a balancer. seg is its packet, if it carries one.
+// HandleParcel handles a parcel from a balancer. seg is the packet in it, or nil.
 func (tr *Tracker) HandleParcel(now clock.Millis, from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
 	switch p.Verb {
 	case wire.Verb_VERB_OPEN:
 		if seg != nil {
-			tr.handleOpen(now, from, p, seg)
+			tr.handleOpening(now, from, p, seg)
 		}
 	case wire.Verb_VERB_CARRY:
 		if seg != nil {
@@ -133,12 +134,12 @@
 	}
 }
 
-// opening hands an opening to the target, or returns it: the target serves
-// another service, or takes no new flows.
+// handleOpening passes an opening to the target, or returns it if the target serves another
+// service or accepts no new flows.
 //
-// The agent hears its target before balancers hear that it leaves, so it closes the gate
-// whatever they believe.
-func (tr *Tracker) handleOpen(now clock.Millis, from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
+// The agent learns that its target is leaving before balancers do, so it rejects openings
+// regardless of their view.
+func (tr *Tracker) handleOpening(now clock.Millis, from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
 	if p.Service != tr.settings.Service {
 		tr.returnPacket(now, from, seg, p.Packet, wire.Cause_CAUSE_MISADDRESSED)
 		return
@@ -165,8 +166,8 @@
 	tr.deliver(from, p.Packet)
 }
 
-// admit tells why the target is not handed a new opening, or nothing if it is. rate is
-// how many a second it bears while it is slow after its start.
+// admit returns why a new opening is rejected, or CAUSE_NONE. rate is the number of
+// openings a second that the target accepts while it is slow after its start.
 func (tr *Tracker) admit(now clock.Millis, rate int) wire.Cause {
 	tr.warmingRate = rate
 	warming := rate > 0 && tr.cold(now)
@@ -194,8 +195,8 @@
 	tr.out.Deliveries = append(tr.out.Deliveries, Delivery{Packet: packet, Echo: echoOf(from)})
 }
 
-// echoOf is the mark of packets that a balancer sent: its address, which is all
-// that is needed to return one, also by an agent that has restarted meanwhile.
+// echoOf returns the echo for packets from a balancer: its address, which is enough to
+// return a packet, even after a restart of the agent.
 func echoOf(from netip.AddrPort) uint32 {
 	ip := from.Addr().As4()
 	return binary.BigEndian.Uint32(ip[:])
@@ -207,8 +208,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), tr.settings.Port)
 }
 
-// giveBack returns a packet with a report, so that the balancer's next choice
-// knows better.
+// returnPacket returns a packet together with a report, so that the balancer chooses the
+// next target from current state.
 func (tr *Tracker) returnPacket(now clock.Millis, to netip.AddrPort, seg *segment.Segment, packet []byte, cause wire.Cause) {
 	tr.out.note(Event{
 		Kind: Returned, Flow: seg.FromCaller(), Target: to, Service: tr.settings.Service, Reason: cause.String(),
@@ -217,11 +218,11 @@
 	tr.out.send(to, &wire.Parcel{Verb: wire.Verb_VERB_RETURN, Cause: cause, Report: tr.report(now, 0), Packet: packet})
 }
 
-// carry hands a packet of an open flow to the target that holds it.
+// handleCarry passes a packet of an open flow to the target that holds it.
 //
-// An agent that knows its target's flows returns a stranger's packet itself: a
-// flow whose packets reach other targets again and again looks broken to its
-// caller. Only one that is unsure asks the target by handing it the packet.
+// An agent that knows all flows of its target returns packets of unknown flows itself: a
+// flow whose packets keep reaching other targets looks broken to its caller. Only an agent
+// that is unsure passes the packet to the target to find out.
 func (tr *Tracker) handleCarry(now clock.Millis, from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
 	id := seg.FromCaller()
 	if p.Service != tr.settings.Service {
@@ -249,8 +250,8 @@
 	tr.deliver(from, p.Packet)
 }
 
-// FromTarget takes a packet of the target: one that it sends to a caller, or a
-// caller's that it returns.
+// HandleTargetPacket handles a packet from the target: one for a caller, or a caller's
+// packet that the target returns.
 func (tr *Tracker) HandleTargetPacket(now clock.Millis, seg *segment.Segment, packet []byte) {
 	if seg.Flags.Has(segment.Returned) {
 		tr.handleReturn(now, seg, packet)
@@ -295,10 +296,11 @@
 	tr.out.Answers = append(tr.out.Answers, packet)
 }
 
-// resetOfStranger drops a reset of a flow that the target is not known to hold.
+// dropUnknownReset drops a reset of a flow that the target is not known to hold.
 //
-// A target that is just starting resets what it does not know, so a reset is no sign that
-// it holds the flow, which may be well elsewhere. If it does, its caller only waits longer.
+// A target that is just starting resets unknown flows, so a reset does not prove that it
+// holds the flow, which may be intact at another target. If it did hold the flow, the
+// caller only waits longer.
 func (tr *Tracker) dropUnknownReset(now clock.Millis, id segment.Flow, f *trackedFlow) {
 	tr.out.note(Event{
 		Kind: Returned, Flow: id, Service: tr.settings.Service, Reason: "a reset of a flow that the target may not hold",
@@ -311,9 +313,9 @@
 	}
 }
 
-// returned passes a packet that the target did not take back to the balancer
-// that its mark names. It is no sign of life: where no target runs, the VM returns
-// what is sent to its address.
+// handleReturn sends a packet that the target did not accept back to the balancer named in
+// its echo. It does not show that the target is alive: without a target process, the VM
+// returns packets sent to its address.
 func (tr *Tracker) handleReturn(now clock.Millis, seg *segment.Segment, packet []byte) {
 	tr.upstream.pendingSince = 0
 	id := seg.FromCaller()
@@ -329,7 +331,7 @@
 	tr.flows.Remove(id)
 	tr.denied.Add(id, struct{}{})
 	if ok && f.unverified {
-		// A search handed the packet here, and its balancer has kept it.
+		// The packet came from a search, whose balancer still has a copy.
 		tr.sendAnswer(to, id, wire.Holding_HOLDING_NOT)
 		return
 	}
--- a/internal/connection/stream/upstream.go
+++ b/internal/connection/stream/upstream.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// youngSequence is how many heartbeats a target may have tried at the first one
-	// that is heard for no earlier process of the agent to have served it, and
-	// youngPart the part of the pause between two heartbeats within which that must be,
-	// in percent: once one is acknowledged, the next comes after the whole pause.
+	// maxFirstSequence and maxFirstAgePercent apply to the first heartbeat that this
+	// process receives: an earlier process of the agent cannot have served the target if
+	// the target has tried at most that many heartbeats and is younger than that percentage
+	// of the heartbeat interval. Once a heartbeat is acknowledged, the next one follows
+	// after a whole interval.
 	maxFirstSequence   = 6
 	maxFirstAgePercent = 75
-	// beatSlack is how much later than planned a heartbeat may come.
+	// heartbeatSlack is how late a heartbeat may arrive.
 	heartbeatSlack = 200 * clock.Millis(1)
 )
 
-// Beat is what a target says of itself in one heartbeat.
+// Heartbeat is a target's heartbeat.
 type Heartbeat struct {
 	Service string
-	// Born is the target's start, and Sequence counts its heartbeats.
+	// Born is the target's start time; Sequence counts its heartbeats.
 	Born     uint64
 	Sequence uint64
-	// Age is how long ago that was, by the clock of the VM.
+	// Age is the time since Born, by the VM's clock.
 	Age      clock.Millis
 	Draining bool
 	Slots    int
@@ -30,56 +31,56 @@
 	Cold clock.Millis
 }
 
-// upstream is what an agent knows of its target.
+// upstream is the agent's state of its target.
 type upstream struct {
 	known    bool
 	born     uint64
 	sequence uint64
-	// beats counts the heartbeats that were heard of this start.
+	// heartbeats counts the heartbeats received from this incarnation.
 	heartbeats int
 	draining   bool
 	gone       bool
 	slots      int
 	coldUntil  clock.Millis
-	// beat is when the last heartbeat came, and seen the last sign of life.
+	// lastHeartbeat is when the last heartbeat arrived; lastSeen also covers packets.
 	lastHeartbeat clock.Millis
 	lastSeen      clock.Millis
-	// pending is when the first opening was handed over since the target's last
-	// packet; zero if none was.
+	// pendingSince is when the first opening since the target's last packet was passed to
+	// it, or zero.
 	pendingSince clock.Millis
-	// checked is when it was last looked whether the target is there; refused and
-	// unanswered count what was found since its last sign of life.
+	// lastDial is when the target was last dialed; refusedDials and unansweredDials count
+	// the failed dials since it was last seen.
 	lastDial        clock.Millis
 	refusedDials    int
 	unansweredDials int
-	// listens tells that the last look found a process.
+	// listening is set if the last dial succeeded.
 	listening bool
-	// outlier judges how it ends requests.
+	// outlier detects that the target fails requests.
 	outlier outlier
 }
 
-// sign notes a sign of life.
+// recordActivity records that the target is alive.
 func (u *upstream) recordActivity(now clock.Millis) {
 	u.lastSeen, u.pendingSince, u.refusedDials, u.unansweredDials = now, 0, 0, 0
 }
 
-// down reports that there is no target process.
+// down reports whether no target process is running.
 func (u *upstream) down() bool {
 	return u.refusedDials >= minFailedDials
 }
 
-// missing reports that nothing was heard of the target yet, and that nobody listens
-// at its address.
+// notFound reports whether nothing has been received from the target yet and no process
+// listens at its address.
 func (u *upstream) notFound() bool {
 	return !u.known && u.lastSeen == 0 && !u.listening
 }
 
-// Beat takes a heartbeat of the target. It is to be acknowledged after this: the
-// target goes by the acknowledgement when it leaves.
+// HandleHeartbeat handles a heartbeat of the target. It must be acknowledged only
+// afterwards: a target that leaves relies on the acknowledgement.
 //
-// A target that started anew has none of the flows of before. Their callers are
-// told at once, so that they come back instead of waiting. Flows that were opened since
-// the last heartbeat of the earlier one may be the new one's.
+// A restarted target has none of its earlier flows. Their callers are reset at once, so
+// that they reconnect instead of waiting. Flows opened after the last heartbeat of the
+// earlier incarnation may belong to the new one.
 func (tr *Tracker) HandleHeartbeat(now clock.Millis, b Heartbeat) {
 	u := &tr.upstream
 	if u.outdated(now, b, tr.settings.HeartbeatTimeout) {
@@ -90,7 +91,7 @@
 	case !u.known:
 		tr.sawAllFlows = tr.sawAllOpenings(b)
 	case b.Born != u.born:
-		tr.resetFlowsBefore(u.lastHeartbeat, "the target started anew")
+		tr.resetFlowsBefore(u.lastHeartbeat, "the target restarted")
 		tr.sawAllFlows = true
 		*u = upstream{}
 	}
@@ -107,17 +108,17 @@
 	if after := tr.condition(now); after != before {
 		reason := after.String()
 		if !tr.sawAllFlows {
-			reason += ", its earlier flows are not known"
+			reason += ", earlier flows are unknown"
 		}
 		tr.out.note(Event{Kind: Upstream, Reason: reason, Service: tr.settings.Service, Count: int(b.Sequence), Age: b.Age})
 	}
 }
 
-// sawAll reports, at the first heartbeat that this process hears, that no earlier
-// process of the agent has opened flows at the target: an agent opens none before it
-// acknowledges a heartbeat, and then the target would have waited before this one. The
-// VM's clock may have been set between the target's start and now, so the number of
-// heartbeats must fit as well.
+// sawAllOpenings reports, for the first heartbeat that this process receives, whether no
+// earlier process of the agent has opened flows at the target. An agent opens no flows
+// before it acknowledges a heartbeat, and after an acknowledgement the target would have
+// waited a whole interval before this heartbeat. The VM's clock may have been set since the
+// target's start, so the number of heartbeats must match as well.
 func (tr *Tracker) sawAllOpenings(b Heartbeat) bool {
 	if b.Sequence <= 1 {
 		return true
@@ -126,31 +127,30 @@
 	return b.Sequence <= maxFirstSequence && b.Born != 0 && young
 }
 
-// late reports a heartbeat that was overtaken. The start of a target orders its
-// incarnations unless the VM's clock was set back between them: then the later
-// one seems older, but the one that it follows is silent.
-func (u *upstream) outdated(now clock.Millis, b Heartbeat, silent clock.Millis) bool {
+// outdated reports whether a heartbeat arrived after a later one. Incarnations are ordered
+// by their start times unless the VM's clock was set back in between: then the later one
+// seems older, but the earlier one is silent.
+func (u *upstream) outdated(now clock.Millis, b Heartbeat, timeout clock.Millis) bool {
 	if !u.known {
 		return false
 	}
 	if b.Born == u.born {
 		return b.Sequence <= u.sequence
 	}
-	return b.Born < u.born && now.Sub(u.lastHeartbeat) < silent
+	return b.Born < u.born && now.Sub(u.lastHeartbeat) < timeout
 }
 
-// Leave notes that the target has said that it ends. Its flows end with it.
+// RecordLeave records that the target has announced its end. Its flows end with it.
 func (tr *Tracker) RecordLeave(now clock.Millis) {
 	tr.upstream.gone = true
 	tr.out.note(Event{Kind: Upstream, Reason: "left", Service: tr.settings.Service, Age: now.Sub(tr.upstream.lastHeartbeat)})
 }
 
-// Stop tells the callers of flows whose target has ended. It must only be called
-// once the process ends: where the target has left, it has ended before its
-// agent is told to.
+// Stop resets the flows of a target that has ended. It must be called only when the process
+// ends: a target that has left ends before its agent is stopped.
 //
-// A target of which there is no process has left as well, whether it said so or
-// not: its VM may be taken away, and balancers need not wait for this agent.
+// A target without a process counts as having left even if it did not announce it: its VM
+// may be removed, and balancers need not wait for this agent.
 func (tr *Tracker) Stop(now clock.Millis) {
 	tr.stopping = true
 	tr.upstream.gone = tr.upstream.gone || tr.upstream.down() || tr.noTarget(now)
@@ -164,7 +164,7 @@
 	return tr.upstream.gone
 }
 
-// resetBefore ends the flows that were opened before a time at their callers.
+// resetFlowsBefore resets the flows that were opened before the given time.
 func (tr *Tracker) resetFlowsBefore(before clock.Millis, reason string) {
 	ended := 0
 	for _, id := range tr.flows.Keys() {
@@ -184,8 +184,8 @@
 	}
 }
 
-// Accepting reports whether the target takes new flows. One that fails requests
-// does: balancers send it some only where there is no better one.
+// Accepting reports whether the target accepts new flows. A failing target does: balancers
+// choose it only if there is no better one.
 func (tr *Tracker) Accepting(now clock.Millis) bool {
 	c := tr.condition(now)
 	return c == wire.Condition_CONDITION_READY || c == wire.Condition_CONDITION_FAILING
@@ -207,7 +207,7 @@
 	}
 }
 
-// Flows returns how many flows are remembered.
+// Flows returns the number of tracked flows.
 func (tr *Tracker) Flows() int {
 	return tr.flows.Len()
 }
