--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -11,59 +11,59 @@
 func (w *simulation) startAgent(a *simAgent) {
 	a.epoch++
 	a.up = true
-	a.tracker = NewHolder(w.now, HolderSettings{
+	a.tracker = NewTracker(w.now, TrackerSettings{
 		Name: a.address.String(), Domain: a.domain, Service: a.service, Epoch: a.epoch, Port: simPort,
-		Flows: 1000, FlowLife: testFlowTTL, Heartbeat: simHeartbeat, SilentAfter: 3 * simHeartbeat,
+		MaxFlows: 1000, FlowTTL: testFlowTTL, Heartbeat: simHeartbeat, HeartbeatTimeout: 3 * simHeartbeat,
 		Checkpoint: true,
 	})
-	h := a.tracker
+	tr := a.tracker
 	var tick func()
 	tick = func() {
-		if a.tracker != h || !a.up {
+		if a.tracker != tr || !a.up {
 			return
 		}
-		h.Tick(w.now)
-		if h.Doubts(w.now) {
+		tr.Tick(w.now)
+		if tr.DialDue(w.now) {
 			found := Listening
 			if a.target == nil || !a.target.alive {
-				found = []Look{Refusing, Unanswered}[w.random.IntN(2)]
+				found = []DialResult{Refusing, Unanswered}[w.random.IntN(2)]
 			}
-			h.Checked(w.now, found)
+			tr.RecordDial(w.now, found)
 		}
 		w.flushAgent(a)
 		w.schedule(50, tick)
 	}
 	w.schedule(1, tick)
-	w.restores(a)
-	var tell func()
-	tell = func() {
-		if a.tracker != h || !a.up {
+	w.restoreCheckpoint(a)
+	var report func()
+	report = func() {
+		if a.tracker != tr || !a.up {
 			return
 		}
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		h.Tell(w.now, all)
+		tr.SendReport(w.now, all)
 		w.flushAgent(a)
-		w.schedule(500, tell)
+		w.schedule(500, report)
 	}
-	w.schedule(2, tell)
+	w.schedule(2, report)
 }
 
 func (w *simulation) flushAgent(a *simAgent) {
-	if a.tracker.Turned(w.now) {
+	if a.tracker.ConditionChanged(w.now) {
 		var all []netip.AddrPort
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		a.tracker.Tell(w.now, all)
+		a.tracker.SendReport(w.now, all)
 	}
 	out := a.tracker.Take()
 	w.traceEvents(a.address, out.Events)
 	for _, d := range out.Deliveries {
 		packet := mark(d.Packet, d.Echo, false)
-		w.schedule(0, func() { w.targetTakes(a, packet) })
+		w.schedule(0, func() { w.targetReceives(a, packet) })
 	}
 	for _, packet := range out.Answers {
 		s := decode(packet)
@@ -86,7 +86,7 @@
 					return
 				}
 				if p.Verb == wire.Verb_VERB_KEEP {
-					w.hearKeep(b, a.address, p.Checkpoint)
+					w.handleCheckpoint(b, a.address, p.Checkpoint)
 					return
 				}
 				b.steerer.HandleParcel(w.now, a.address, p, packetSegment(p))
@@ -99,14 +99,14 @@
 func (w *simulation) startTarget(a *simAgent) {
 	t := &simTarget{born: uint64(w.now), alive: true, flows: map[segment.Flow]*simEndpoint{}}
 	a.target = t
-	var beat func()
-	beat = func() {
+	var heartbeat func()
+	heartbeat = func() {
 		if !t.alive || a.target != t {
 			return
 		}
 		t.sequence++
 		if a.up {
-			a.tracker.Beat(w.now, Beat{
+			a.tracker.HandleHeartbeat(w.now, Heartbeat{
 				Service: a.service, Born: t.born, Sequence: t.sequence, Age: w.now - clock.Millis(t.born),
 				Draining: t.draining, Slots: 4,
 			})
@@ -114,16 +114,16 @@
 				t.drainAckedAt = w.now
 			}
 			w.flushAgent(a)
-			w.schedule(simHeartbeat, beat)
+			w.schedule(simHeartbeat, heartbeat)
 			return
 		}
-		w.schedule(100, beat)
+		w.schedule(100, heartbeat)
 	}
-	w.schedule(clock.Millis(1+w.random.IntN(100)), beat)
+	w.schedule(clock.Millis(1+w.random.IntN(100)), heartbeat)
 }
 
-// targetTakes is the target's end of the protocol.
-func (w *simulation) targetTakes(a *simAgent, packet []byte) {
+// targetReceives implements the target's side of the protocol.
+func (w *simulation) targetReceives(a *simAgent, packet []byte) {
 	t := a.target
 	if t == nil || !t.alive {
 		return
@@ -145,13 +145,13 @@
 			end = &simEndpoint{seq: w.random.Uint32()}
 			t.flows[id] = end
 		}
-		w.targetSends(a, segment.Segment{
+		w.sendFromTarget(a, segment.Segment{
 			Source: id.Listener, Destination: id.Caller, Flags: segment.Opens | segment.Acks, Seq: end.seq,
 		})
 		return
 	}
 	if end == nil || s.Ack != end.seq+1 {
-		w.schedule(0, func() { w.agentTakes(a, mark(packet, s.Echo, true)) })
+		w.schedule(0, func() { w.agentReceives(a, mark(packet, s.Echo, true)) })
 		return
 	}
 	if !end.open {
@@ -166,24 +166,24 @@
 	case s.Size == 0 || w.now < t.failsUntil && t.unresponsive:
 	case w.now < t.failsUntil:
 		delete(t.flows, id)
-		w.targetSends(a, segment.Segment{
+		w.sendFromTarget(a, segment.Segment{
 			Source: id.Listener, Destination: id.Caller, Flags: segment.Resets | segment.Acks, Seq: end.seq + 1,
 		})
 	default:
-		w.targetSends(a, segment.Segment{
+		w.sendFromTarget(a, segment.Segment{
 			Source: id.Listener, Destination: id.Caller, Flags: segment.Acks, Seq: end.seq + 1, Ack: s.Seq, Size: 100,
 		})
 	}
 }
 
-func (w *simulation) targetSends(a *simAgent, s segment.Segment) {
+func (w *simulation) sendFromTarget(a *simAgent, s segment.Segment) {
 	packet := encode(s)
-	w.schedule(0, func() { w.agentTakes(a, packet) })
+	w.schedule(0, func() { w.agentReceives(a, packet) })
 }
 
-func (w *simulation) agentTakes(a *simAgent, packet []byte) {
+func (w *simulation) agentReceives(a *simAgent, packet []byte) {
 	if a.up {
-		a.tracker.FromTarget(w.now, decode(packet), packet)
+		a.tracker.HandleTargetPacket(w.now, decode(packet), packet)
 		w.flushAgent(a)
 	}
 }
--- a/internal/connection/stream/bench_test.go
+++ b/internal/connection/stream/bench_test.go
@@ -15,11 +15,11 @@
 	b.Helper()
 	s := NewSteerer(testNow-clock.Minute, Settings{Domain: "a", MaxFlows: 10_000, FlowTTL: testFlowTTL})
 	for i := range targets {
-		r := ready(1, 1)
+		r := readyReport(1, 1)
 		r.Domain, r.Slots, r.Flows, r.Busy, r.Serving = string(rune('a'+i%3)), 2, uint32(20+i%7), uint32(50+i%40), 25
 		s.HandleParcel(testNow, testAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
-	s.Targets.SetSharers(6)
+	s.Targets.SetBalancers(6)
 	return s
 }
 
--- a/internal/connection/stream/empty_test.go
+++ b/internal/connection/stream/empty_test.go
@@ -9,29 +9,29 @@
 )
 
 // newAgentWithoutTarget returns an agent that has just started and knows of no target.
-func newAgentWithoutTarget() *Holder {
-	return NewHolder(testNow, HolderSettings{
-		Service: "one", Heartbeat: 1200, SilentAfter: 3600, Flows: 10, FlowLife: testFlowTTL, Epoch: 1, Port: simPort,
+func newAgentWithoutTarget() *Tracker {
+	return NewTracker(testNow, TrackerSettings{
+		Service: "one", Heartbeat: 1200, HeartbeatTimeout: 3600, MaxFlows: 10, FlowTTL: testFlowTTL, Epoch: 1, Port: simPort,
 	})
 }
 
 // askHolding asks an agent about a flow.
-func askHolding(h *Holder, now clock.Millis) wire.Holding {
+func askHolding(h *Tracker, now clock.Millis) wire.Holding {
 	h.Take()
 	q := newQuestions(0, alwaysSearching)
 	q.add(now, testAddress(2, 0), false, segment.Flow{Caller: testAddress(100, 0), Listener: testListener}, 7)
 	var out Outcome
 	q.flush(now, 0, &out)
-	h.Hear(now, testAddress(1, 0), out.Sends[0].Parcel, nil)
+	h.HandleParcel(now, testAddress(1, 0), out.Sends[0].Parcel, nil)
 	return wire.Holding(h.Take().Sends[0].Parcel.Holdings[0])
 }
 
 // returnPacket gives the agent a packet of that flow that the VM returned.
-func returnPacket(h *Holder, now clock.Millis) {
+func returnPacket(h *Tracker, now clock.Millis) {
 	s := segment.Segment{
 		Source: testAddress(100, 0), Destination: testListener, Flags: segment.Acks | segment.Returned, Ack: 7,
 	}
-	h.FromTarget(now, &s, encode(s))
+	h.HandleTargetPacket(now, &s, encode(s))
 }
 
 // All VMs lost power, including one whose target had left for good. Its agent starts
@@ -43,9 +43,9 @@
 	if got := askHolding(h, testNow+10); got != wire.Holding_HOLDING_UNKNOWN {
 		t.Errorf("an agent that has just started answers %v", got)
 	}
-	for i := range clock.Millis(absences) {
-		h.Checked(testNow+50+i*checkEvery, Refusing)
-		returnPacket(h, testNow+60+i*checkEvery)
+	for i := range clock.Millis(minFailedDials) {
+		h.RecordDial(testNow+50+i*dialInterval, Refusing)
+		returnPacket(h, testNow+60+i*dialInterval)
 	}
 	if got := askHolding(h, testNow+300); got != wire.Holding_HOLDING_NOT {
 		t.Errorf("after refused connections the agent answers %v", got)
@@ -59,7 +59,7 @@
 func TestUnansweredChecksAreInconclusive(t *testing.T) {
 	h := newAgentWithoutTarget()
 	for i := range clock.Millis(3) {
-		h.Checked(testNow+50+i*checkEvery, Unanswered)
+		h.RecordDial(testNow+50+i*dialInterval, Unanswered)
 	}
 	if got := askHolding(h, testNow+700); got != wire.Holding_HOLDING_UNKNOWN {
 		t.Errorf("after unanswered connection attempts the agent answers %v", got)
@@ -67,14 +67,14 @@
 	if got := h.report(testNow+2300, 0).Condition; got != wire.Condition_CONDITION_UNKNOWN {
 		t.Errorf("before two heartbeats were due the target is reported as %v", got)
 	}
-	later := testNow + emptyBeats*1200 + 1
+	later := testNow + firstHeartbeatWait*1200 + 1
 	if got := h.report(later, 0).Condition; got != wire.Condition_CONDITION_GONE {
 		t.Errorf("after two heartbeats were due the target is reported as %v", got)
 	}
 	if got := askHolding(h, later); got != wire.Holding_HOLDING_NOT {
 		t.Errorf("after two heartbeats were due the agent answers %v", got)
 	}
-	h.Beat(later+1, Beat{Service: "one", Born: 5, Sequence: 1, Slots: 2})
+	h.HandleHeartbeat(later+1, Heartbeat{Service: "one", Born: 5, Sequence: 1, Slots: 2})
 	if !h.Accepting(later + 1) {
 		t.Error("a target that starts late gets no flows")
 	}
@@ -86,17 +86,17 @@
 // the caller, whose flow is healthy at another target; the balancer must get a denial.
 func TestResetOfUnknownFlowIsDropped(t *testing.T) {
 	h := newAgentWithoutTarget()
-	h.Checked(testNow+1, Listening)
+	h.RecordDial(testNow+1, Listening)
 	if got := askHolding(h, testNow+10); got != wire.Holding_HOLDING_UNSURE {
 		t.Errorf("an agent beside a listening process answers %v", got)
 	}
 	packet := segment.Segment{Source: testAddress(100, 0), Destination: testListener, Flags: segment.Acks, Ack: 7, Size: 100}
-	h.Hear(testNow+11, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
+	h.HandleParcel(testNow+11, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
 	if got := len(h.Take().Deliveries); got != 1 {
 		t.Fatalf("the packet was delivered %d times", got)
 	}
 	reset := segment.Segment{Source: testListener, Destination: testAddress(100, 0), Flags: segment.Resets, Seq: 8}
-	h.FromTarget(testNow+12, &reset, encode(reset))
+	h.HandleTargetPacket(testNow+12, &reset, encode(reset))
 	out := h.Take()
 	if len(out.Answers) > 0 || len(out.Resets) > 0 {
 		t.Error("the caller was reset by a target that does not hold its flow")
--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -90,7 +90,7 @@
 	case 11:
 		w.failRequests(a)
 	case 12:
-		w.power()
+		w.losePower()
 	case 13:
 		w.evacuate(b.domain)
 	}
@@ -124,7 +124,7 @@
 func (w *simulation) sendEvacuations(b *simBalancer, s evacuation.Snapshot) {
 	w.schedule(clock.Millis(w.random.IntN(simEvacuationDelay)), func() {
 		if b.up {
-			b.steerer.TakeEvacuations(w.now, s)
+			b.steerer.UpdateEvacuations(w.now, s)
 			w.flushBalancer(b)
 		}
 	})
@@ -207,7 +207,7 @@
 		for _, b := range w.balancers {
 			all = append(all, b.address)
 		}
-		a.tracker.Tell(w.now, all)
+		a.tracker.SendReport(w.now, all)
 		w.flushAgent(a)
 	}
 	a.up = false
@@ -235,7 +235,7 @@
 		}
 		t.alive = false
 		if a.up {
-			a.tracker.Leave(w.now)
+			a.tracker.RecordLeave(w.now)
 			w.flushAgent(a)
 		}
 		w.schedule(500, func() { w.startTarget(a) })
--- a/internal/connection/stream/handon_test.go
+++ b/internal/connection/stream/handon_test.go
@@ -21,12 +21,12 @@
 	s, _ = newSearchingSteerer(t, 1, 0)
 	relay = NewSteerer(0, Settings{Domain: "b", Address: testRelay, MaxFlows: 100, FlowTTL: testFlowTTL})
 	for i := range remote {
-		r := ready(1, 1)
+		r := readyReport(1, 1)
 		r.Domain = "b"
 		relay.HandleParcel(testNow, testAddress(2, 1+i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	for _, part := range relay.Summary(testNow, 1, 1, true) {
-		s.HearSummary(testNow, part)
+		s.HandleSummary(testNow, part)
 	}
 	s.Take()
 	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
@@ -54,7 +54,7 @@
 		t.Fatalf("asked %v, want the relay", asked)
 	}
 	asker := testAddress(1, 0)
-	if !relay.HandOn(testNow+14, asker, asked[testRelay]) {
+	if !relay.RelayQuestions(testNow+14, asker, asked[testRelay]) {
 		t.Fatal("the relay does not forward the question")
 	}
 	forwarded := sentQuestions(relay)
@@ -62,13 +62,13 @@
 		t.Fatalf("forwarded to %d agents, want %d", len(forwarded), remote)
 	}
 	for at, p := range forwarded {
-		h := NewHolder(0, HolderSettings{Service: "one", Port: simPort, Flows: 10, FlowLife: testFlowTTL})
-		h.Hear(testNow+15, testRelay, p, nil)
+		h := NewTracker(0, TrackerSettings{Service: "one", Port: simPort, MaxFlows: 10, FlowTTL: testFlowTTL})
+		h.HandleParcel(testNow+15, testRelay, p, nil)
 		out := h.Take().Sends
 		if len(out) != 1 || out[0].To != asker {
 			t.Fatalf("the agent answers %v", out)
 		}
-		if relay.HandOn(testNow+15, asker, p) {
+		if relay.RelayQuestions(testNow+15, asker, p) {
 			t.Error("a forwarded question is forwarded again")
 		}
 		out[0].Parcel.Holdings[0] = byte(wire.Holding_HOLDING_NOT)
@@ -89,7 +89,7 @@
 	question := sentQuestions(s)[testRelay]
 	forwarded := 0
 	for range 100 {
-		if relay.HandOn(testNow+14, testAddress(1, 0), question) {
+		if relay.RelayQuestions(testNow+14, testAddress(1, 0), question) {
 			forwarded++
 		}
 	}
--- /dev/null
+++ b/internal/connection/stream/heartbeat_test.go
@@ -0,0 +1,52 @@
+package stream
+
+import (
+	"testing"
+
+	"github.com/wagtailtray/wagtailtray/internal/request/segment"
+	"github.com/wagtailtray/wagtailtray/pkg/clock"
+	"github.com/wagtailtray/wagtailtray/pkg/wire"
+)
+
+// An agent receives its target's heartbeat for the first time. Whether it knows all flows
+// must not depend on how quickly processes are restarted: an agent that follows another at
+// once, with a target that has just started, would deny intact flows.
+func TestFirstHeartbeat(t *testing.T) {
+	flow := segment.Flow{Caller: testAddress(100, 0), Listener: testListener}
+	for _, c := range []struct {
+		name     string
+		sequence uint64
+		age      clock.Millis
+		want     wire.Holding
+	}{
+		{"the first one", 1, 10, wire.Holding_HOLDING_NOT},
+		{"the others were not acknowledged", 4, 200, wire.Holding_HOLDING_NOT},
+		{"another agent may have acknowledged, an interval ago", 2, simHeartbeat + 20, wire.Holding_HOLDING_UNSURE},
+		{"many were sent", 9, 600, wire.Holding_HOLDING_UNSURE},
+		{"the clock was set back", 3, -5, wire.Holding_HOLDING_UNSURE},
+	} {
+		tr := newAgentWithoutTarget()
+		now := testNow + c.age
+		tr.HandleHeartbeat(now, Heartbeat{Service: "one", Born: 900, Sequence: c.sequence, Age: c.age, Slots: 4})
+		if got := tr.holding(now, flow, 7); got != c.want {
+			t.Errorf("%s: holding %v, want %v", c.name, got, c.want)
+		}
+	}
+}
+
+// A target restarts, and its heartbeats are delayed for long. Flows opened after the
+// earlier incarnation's last heartbeat may be the new one's and must stay, however old;
+// earlier ones are gone, however young.
+func TestTargetRestart(t *testing.T) {
+	tr := newAgentWithoutTarget()
+	tr.HandleHeartbeat(testNow, Heartbeat{Service: "one", Born: 500, Sequence: 1, Age: 10, Slots: 4})
+	openFlow(tr, testNow+100, 1)
+	tr.HandleHeartbeat(testNow+1200, Heartbeat{Service: "one", Born: 500, Sequence: 2, Age: 1210, Slots: 4})
+	openFlow(tr, testNow+1500, 2)
+	tr.Take()
+	tr.HandleHeartbeat(testNow+9000, Heartbeat{Service: "one", Born: 2500, Sequence: 3, Age: 7800, Slots: 4})
+	resets := tr.Take().Resets
+	if len(resets) != 1 || resets[0].Flow != callerFlow(1) {
+		t.Errorf("resets %v, want the flow that was opened before the last heartbeat", resets)
+	}
+}
--- a/internal/connection/stream/opening.go
+++ b/internal/connection/stream/opening.go
@@ -21,7 +21,7 @@
 	if s.table == nil && s.queueAtStartup(now, id, packet, "no configuration yet") {
 		return
 	}
-	if s.blind() && s.queueAtStartup(now, id, packet, "evacuations not known yet") {
+	if s.evacuationsUnknown() && s.queueAtStartup(now, id, packet, "evacuations not known yet") {
 		return
 	}
 	service, err := s.pickService(id)
@@ -86,8 +86,8 @@
 	return s.table.Warming(service)
 }
 
-func (s *Steerer) demand(f *flow) Demand {
-	return Demand{Service: f.service, Homes: f.homeRegions, Warming: s.warmingRate(f.service), Tried: f.tried}
+func (s *Steerer) demand(f *flow) PlacementRequest {
+	return PlacementRequest{Service: f.service, HomeRegions: f.homeRegions, WarmingRate: s.warmingRate(f.service), Tried: f.tried}
 }
 
 // placeOpening sends an opening packet to the target of lowest cost that was not tried yet.
@@ -105,7 +105,7 @@
 	f.pending++
 	f.owner = offeredTo(t.Address)
 	s.out.record(Event{
-		Kind: kind, Flow: id, Target: t.Address, Name: t.Name, Service: f.service, Age: now.Sub(t.Heard),
+		Kind: kind, Flow: id, Target: t.Address, Name: t.Name, Service: f.service, Age: now.Sub(t.HeardAt),
 		Count: len(f.tried), Version: s.version(),
 	})
 	s.out.send(t.Address, s.openParcel(f.service, packet))
@@ -122,11 +122,11 @@
 		return
 	}
 	demand := s.demand(f)
-	if s.Targets.warming(now, &demand) && s.queueOpening(now, queuedOpening{id: id, queuedAt: f.openedAt, packet: packet, tried: len(f.tried)}, "targets have just started") {
+	if s.Targets.anyWarming(now, &demand) && s.queueOpening(now, queuedOpening{id: id, queuedAt: f.openedAt, packet: packet, tried: len(f.tried)}, "targets have just started") {
 		s.flows.Remove(id)
 		return
 	}
-	reason := s.Targets.barred(now, &demand)
+	reason := s.Targets.blockedReason(now, &demand)
 	refused := len(f.tried) > 0 || reason != "" && s.knowsTargets(now)
 	if !refused && s.queueAtStartup(now, id, packet, cmp.Or(reason, "no target is ready")) {
 		s.flows.Remove(id)
@@ -168,7 +168,7 @@
 		}
 		s.out.record(Event{
 			Kind: Reopened, Flow: id, Target: a, Name: t.Name, Service: f.service, Reason: "no other target",
-			Age: now.Sub(t.Heard), Count: len(f.tried), Version: s.version(),
+			Age: now.Sub(t.HeardAt), Count: len(f.tried), Version: s.version(),
 		})
 		s.out.send(a, s.openParcel(f.service, packet))
 	}
--- a/internal/connection/stream/probe.go
+++ b/internal/connection/stream/probe.go
@@ -7,99 +7,99 @@
 )
 
 const (
-	// nearProbe is how often targets in the balancer's own failure domain are probed, and
-	// farProbe how often those in others of which no summary tells. Load changes within a
-	// mean request, some 30 ms, but a report that is 200 ms old is corrected by what was
-	// placed since; traffic between domains is paid for.
-	nearProbe = 200 * clock.Millis(1)
-	farProbe  = clock.Second
-	// restProbe is how often targets of a service are probed that had no
-	// openings or searches here for restAfter: a balancer among hundreds sees
-	// few of the services.
-	restProbe = 5 * clock.Second
-	restAfter = 20 * clock.Second
-	// againProbe is the pause before a probe without answer is repeated, some
+	// localProbeInterval is the probe interval for targets in the balancer's own failure
+	// domain, remoteProbeInterval for remote ones not covered by a summary. Load changes
+	// within a mean request, some 30 ms, but a report that is 200 ms old is corrected by
+	// the flows placed since. Traffic between domains is billed.
+	localProbeInterval  = 200 * clock.Millis(1)
+	remoteProbeInterval = clock.Second
+	// idleProbeInterval is the probe interval for targets of a service without openings or
+	// searches at this balancer for idleServiceAfter. One balancer among hundreds handles
+	// only a few of the services.
+	idleProbeInterval = 5 * clock.Second
+	idleServiceAfter  = 20 * clock.Second
+	// probeRetryInterval is the interval at which an unanswered probe is repeated, some
 	// round trips between failure domains.
-	againProbe = 100 * clock.Millis(1)
-	// lostProbe is the pause between probes of a suspected target.
-	lostProbe = 500 * clock.Millis(1)
-	// tickLate is a pause between two ticks that is longer than planned: this
-	// process stood still, or is short of processor time.
-	tickLate = 100 * clock.Millis(1)
-	// forgetAfter is the silence after which a target is no longer known: a
-	// flow lives no longer than a minute.
-	forgetAfter = 70 * clock.Second
+	probeRetryInterval = 100 * clock.Millis(1)
+	// suspectedProbeInterval is the probe interval for a suspected target.
+	suspectedProbeInterval = 500 * clock.Millis(1)
+	// tickTolerance is the interval between two ticks beyond which this process was paused
+	// or is short of CPU time.
+	tickTolerance = 100 * clock.Millis(1)
+	// targetRetention is the silence after which a target is removed: a flow lives no
+	// longer than a minute.
+	targetRetention = 70 * clock.Second
 )
 
-// Due returns the targets to probe now and notes that they are.
+// DueProbes returns the targets to probe now and records the probes.
 //
-// The time that this process itself was late does not count: its targets would seem
-// silent, and flows that are well would be reset.
-func (ts *Targets) Due(now clock.Millis) []*Target {
+// Time during which this process was paused does not count as silence. Otherwise targets
+// would seem lost, and their intact flows would be reset.
+func (ts *Targets) DueProbes(now clock.Millis) []*Target {
 	late := clock.Millis(0)
-	if ts.ticked != 0 {
-		late = max(now.Sub(ts.ticked)-tickLate, 0)
+	if ts.lastTick != 0 {
+		late = max(now.Sub(ts.lastTick)-tickTolerance, 0)
 	}
-	ts.ticked = now
+	ts.lastTick = now
 	var due []*Target
 	for _, g := range ts.groups {
-		resting := now.Sub(g.wanted) > restAfter
+		resting := now.Sub(g.lastUsed) > idleServiceAfter
 		for _, t := range g.targets {
-			if t.waiting != 0 {
-				t.waiting += late
+			if t.unansweredSince != 0 {
+				t.unansweredSince += late
 			}
-			if ts.covered(now, t) || now.Sub(t.probed) < ts.pause(now, t, resting) {
+			if ts.coveredBySummary(now, t) || now.Sub(t.lastProbe) < ts.probeInterval(now, t, resting) {
 				continue
 			}
-			t.probed = now
-			if t.waiting == 0 {
-				t.waiting = now
+			t.lastProbe = now
+			if t.unansweredSince == 0 {
+				t.unansweredSince = now
 			}
 			due = append(due, t)
 		}
 	}
 	slices.SortFunc(due, byAddress)
 	for _, t := range due {
-		ts.number++
-		t.probe = ts.number
+		ts.lastProbeNumber++
+		t.probeNumber = ts.lastProbeNumber
 	}
 	return due
 }
 
-func (ts *Targets) pause(now clock.Millis, t *Target, resting bool) clock.Millis {
+func (ts *Targets) probeInterval(now clock.Millis, t *Target, resting bool) clock.Millis {
 	switch {
-	case t.waiting != 0 && now.Sub(t.waiting) > suspectAfter, t.doubted != 0:
-		return lostProbe
-	case t.waiting != 0:
-		return againProbe
+	case t.unansweredSince != 0 && now.Sub(t.unansweredSince) > suspectAfter, t.unresponsiveAt != 0:
+		return suspectedProbeInterval
+	case t.unansweredSince != 0:
+		return probeRetryInterval
 	case resting:
-		return restProbe
+		return idleProbeInterval
 	case t.Domain == ts.domain:
-		return nearProbe
+		return localProbeInterval
 	default:
-		return farProbe
+		return remoteProbeInterval
 	}
 }
 
-// Forget removes the targets that were silent for longer than a flow lives, and
-// old notes of targets that left.
-func (ts *Targets) Forget(now clock.Millis) []*Target {
+// RemoveSilent removes and returns the targets that were silent for longer than the
+// lifetime of a flow. It also removes expired records of targets that left.
+func (ts *Targets) RemoveSilent(now clock.Millis) []*Target {
 	var gone []*Target
 	for _, t := range ts.known {
-		if t.waiting != 0 && now.Sub(t.waiting) > forgetAfter {
+		if t.unansweredSince != 0 && now.Sub(t.unansweredSince) > targetRetention {
 			ts.remove(t)
 			gone = append(gone, t)
 		}
 	}
-	for a, d := range ts.left {
-		if now.Sub(d.at) > tombFor {
-			delete(ts.left, a)
+	for a, d := range ts.departed {
+		if now.Sub(d.at) > tombstoneTTL {
+			delete(ts.departed, a)
 		}
 	}
 	return gone
 }
 
-// Answering returns how many targets answer probes, and how many there are.
+// Answering returns the number of targets that answer probes and the number of all targets.
 func (ts *Targets) Answering(now clock.Millis) (answering, all int) {
 	for _, t := range ts.known {
 		if !t.Suspected(now) {
--- a/internal/connection/stream/queue.go
+++ b/internal/connection/stream/queue.go
@@ -94,7 +94,7 @@
 // no listener, or it is certain that no target may take it. full holds the destinations
 // without a target.
 func (s *Steerer) canResolve(now clock.Millis, id segment.Flow, full map[destination]bool) bool {
-	if s.table == nil || s.blind() && now.Sub(s.started) <= startupPeriod {
+	if s.table == nil || s.evacuationsUnknown() && now.Sub(s.started) <= startupPeriod {
 		return false
 	}
 	service, err := s.table.Pick(id)
@@ -102,7 +102,7 @@
 		return true
 	}
 	dest := destination{listener: id.Listener, service: service}
-	demand := Demand{Service: service, Homes: s.table.Homes(id), Warming: s.warmingRate(service)}
-	full[dest] = full[dest] || !s.Targets.ready(now, &demand) && (!s.knowsTargets(now) || s.Targets.barred(now, &demand) == "")
+	demand := PlacementRequest{Service: service, HomeRegions: s.table.Homes(id), WarmingRate: s.warmingRate(service)}
+	full[dest] = full[dest] || !s.Targets.hasUsable(now, &demand) && (!s.knowsTargets(now) || s.Targets.blockedReason(now, &demand) == "")
 	return !full[dest]
 }
--- a/internal/connection/stream/handon.go
+++ b/internal/connection/stream/relay.go
@@ -8,26 +8,27 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Relay returns the balancer that has told of the targets of another failure domain lately.
+// Relay returns the balancer that recently sent a summary of another failure domain.
 func (ts *Targets) Relay(now clock.Millis, domain string) (netip.AddrPort, bool) {
 	s := ts.summaries[domain]
-	if s == nil || s.told == 0 || now.Sub(s.told) > coverFor {
+	if s == nil || s.relayHeardAt == 0 || now.Sub(s.relayHeardAt) > summaryTTL {
 		return netip.AddrPort{}, false
 	}
 	return s.relay, true
 }
 
-// HandOn hands a question of a balancer of another failure domain on to the agents of this
-// one, who answer the asker. It reports whether it does: where there is no room, the asker
-// asks those itself that have not answered.
+// RelayQuestions forwards questions from a balancer in another failure domain to the agents
+// of this one, which answer the asker directly. It returns false if the budget is used up;
+// the asker then asks the agents that have not answered itself.
 //
-// Asked one by one, each lost flow would cross failure domains once for each target there.
-func (s *Steerer) HandOn(now clock.Millis, asker netip.AddrPort, p *wire.Parcel) bool {
+// Without a relay, the question for each lost flow would cross between failure domains once
+// per target.
+func (s *Steerer) RelayQuestions(now clock.Millis, asker netip.AddrPort, p *wire.Parcel) bool {
 	if len(p.Asker) > 0 || !s.relayBucket.refill(now) {
 		return false
 	}
 	for _, t := range s.Targets.Sorted() {
-		if t.Domain != s.settings.Domain || t.Heard == 0 || t.Lost(now) {
+		if t.Domain != s.settings.Domain || t.HeardAt == 0 || t.Lost(now) {
 			continue
 		}
 		s.relayBucket.tokens--
--- a/internal/connection/stream/steer.go
+++ b/internal/connection/stream/steer.go
@@ -211,7 +211,7 @@
 		return
 	}
 	if t.Lost(now) && s.mayReset(now) {
-		s.resetFlow(id, f, "its target is lost", now.Sub(t.Heard))
+		s.resetFlow(id, f, "its target is lost", now.Sub(t.HeardAt))
 		return
 	}
 	s.out.send(agent, &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: f.service, Packet: packet})
@@ -256,24 +256,24 @@
 
 // handleReport applies a report and reports whether its target is new.
 func (s *Steerer) handleReport(now clock.Millis, from netip.AddrPort, r *wire.Report) bool {
-	c := s.Targets.Report(now, from, r)
+	c := s.Targets.ApplyReport(now, from, r)
 	s.recordChange(now, from, r, c)
 	return c.New
 }
 
 // recordChange records what a report has changed.
-func (s *Steerer) recordChange(now clock.Millis, from netip.AddrPort, r *wire.Report, c Change) {
+func (s *Steerer) recordChange(now clock.Millis, from netip.AddrPort, r *wire.Report, c TargetChange) {
 	switch {
 	case c.Left:
 		s.out.record(Event{Kind: TargetGone, Target: from, Name: r.Name, Service: r.Service})
-	case c.New || c.Condition || c.Reborn:
+	case c.New || c.Condition || c.Restarted:
 		s.out.record(Event{Kind: TargetNew, Target: from, Name: r.Name, Service: r.Service, Reason: r.Condition.String()})
 	}
 	if c.New || c.Condition {
 		s.retryQueued(now)
 	}
-	if r.Domain == s.settings.Domain && c.told() {
-		s.spread(entry(from, r, 0, 0))
+	if r.Domain == s.settings.Domain && c.urgent() {
+		s.queueChange(summaryEntry(from, r, 0, 0))
 	}
 }
 
@@ -351,9 +351,9 @@
 // Tick does the work that is due: it sends probes, advances searches, retries queued
 // opening packets, and removes targets and answers that have expired.
 func (s *Steerer) Tick(now clock.Millis) {
-	for _, t := range s.Targets.Due(now) {
+	for _, t := range s.Targets.DueProbes(now) {
 		r := &wire.Report{
-			Probe: t.probe, Epoch: t.former.epoch, Born: t.former.born, Domain: s.settings.Domain,
+			Probe: t.probeNumber, Epoch: t.previous.epoch, Born: t.previous.born, Domain: s.settings.Domain,
 			Keeper: s.keeper && t.Domain == s.settings.Domain,
 			Orders: s.Targets.evacuated.Revision, Evacuated: s.Targets.evacuated.Has(t.Domain),
 		}
@@ -372,26 +372,26 @@
 		s.dropOldestAnswers()
 	}
 	s.questions.flush(now, len(s.searches), &s.out)
-	for _, t := range s.Targets.Forget(now) {
-		s.out.record(Event{Kind: TargetGone, Target: t.Address, Name: t.Name, Service: t.Service, Reason: "silent", Age: now.Sub(t.Heard)})
+	for _, t := range s.Targets.RemoveSilent(now) {
+		s.out.record(Event{Kind: TargetGone, Target: t.Address, Name: t.Name, Service: t.Service, Reason: "silent", Age: now.Sub(t.HeardAt)})
 	}
 }
 
 // recordSuspicions records targets that have become suspected or have recovered.
 func (s *Steerer) recordSuspicions(now clock.Millis) {
 	s.Targets.Each(func(t *Target) {
-		suspected := t.Suspected(now) && t.Heard != 0
-		if suspected == t.noted {
+		suspected := t.Suspected(now) && t.HeardAt != 0
+		if suspected == t.suspicionLogged {
 			return
 		}
 		kind := TargetRecovered
 		if suspected {
 			kind = TargetSuspected
 		}
-		t.noted = suspected
+		t.suspicionLogged = suspected
 		if t.Domain == s.settings.Domain {
-			s.spread(entry(t.Address, t.report(now), now.Sub(t.Heard), t.silence(now)))
+			s.queueChange(summaryEntry(t.Address, t.report(now), now.Sub(t.HeardAt), t.silence(now)))
 		}
-		s.out.record(Event{Kind: kind, Target: t.Address, Name: t.Name, Service: t.Service, Age: now.Sub(t.Heard)})
+		s.out.record(Event{Kind: kind, Target: t.Address, Name: t.Name, Service: t.Service, Age: now.Sub(t.HeardAt)})
 	})
 }
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -9,16 +9,16 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// worldObject is the sheet of a failure domain in the platform's store: the present
-// one, and the one before, which a stale read may still return.
-type worldObject struct {
+// simObject is the sheet of a failure domain in the platform's store, with its previous
+// version, which a stale read may return.
+type simObject struct {
 	revision int
 	data     []byte
 	before   []byte
 }
 
-// write replaces the sheet if it is still the one that the writer saw.
-func (o *worldObject) write(seen int, data []byte) bool {
+// write replaces the sheet unless it has changed since the writer read it.
+func (o *simObject) write(seen int, data []byte) bool {
 	if o.revision != seen {
 		return false
 	}
@@ -27,54 +27,54 @@
 	return true
 }
 
-func (w *simulation) object(domain string) *worldObject {
+func (w *simulation) storedObject(domain string) *simObject {
 	o := w.objects[domain]
 	if o == nil {
-		o = &worldObject{}
+		o = &simObject{}
 		w.objects[domain] = o
 	}
 	return o
 }
 
-func (w *simulation) sheet(data []byte) *checkpoint.Sheet {
+func (w *simulation) decodeSheet(data []byte) *checkpoint.Sheet {
 	if data == nil {
 		return &checkpoint.Sheet{Shards: 1}
 	}
 	s := &checkpoint.Sheet{}
 	if err := json.Unmarshal(data, s); err != nil {
-		w.fail("a sheet cannot be read: %v", err)
+		w.fail("cannot decode a sheet: %v", err)
 	}
 	return s
 }
 
-// restores lets an agent read what is kept, now and then late or from an old copy.
-func (w *simulation) restores(a *simAgent) {
-	h := a.tracker
+// restoreCheckpoint lets an agent read its checkpoint, sometimes late or from a stale copy.
+func (w *simulation) restoreCheckpoint(a *simAgent) {
+	tr := a.tracker
 	delay := clock.Millis(2 + w.random.IntN(60))
 	if w.random.IntN(5) == 0 {
 		delay = clock.Millis(w.random.IntN(4000))
 	}
 	w.schedule(delay, func() {
-		if a.tracker != h || !a.up {
+		if a.tracker != tr || !a.up {
 			return
 		}
-		o := w.object(a.domain)
+		o := w.storedObject(a.domain)
 		data := o.data
 		if w.random.IntN(5) == 0 {
 			data = o.before
 		}
-		if e, ok := w.sheet(data).Find(a.address); ok {
-			h.Restore(w.now, int64(w.now), &e)
+		if e, ok := w.decodeSheet(data).Find(a.address); ok {
+			tr.Restore(w.now, int64(w.now), &e)
 		} else {
-			h.Restore(w.now, int64(w.now), nil)
+			tr.Restore(w.now, int64(w.now), nil)
 		}
 		w.flushAgent(a)
 	})
 }
 
-// keeps lets a balancer keep the checkpoints of its failure domain while it is the
-// first one there. Two may think so for a moment.
-func (w *simulation) keeps(b *simBalancer) {
+// runKeeper lets a balancer store the checkpoints of its failure domain while it is the
+// first one there. Two balancers may do so for a moment.
+func (w *simulation) runKeeper(b *simBalancer) {
 	s := b.steerer
 	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: 1 << 20, Life: testFlowTTL, Writes: 10})
 	b.keeper = k
@@ -84,14 +84,14 @@
 		if b.steerer != s {
 			return
 		}
-		switch first := w.first(b.domain) == b || w.random.IntN(20) == 0; {
+		switch first := w.firstBalancer(b.domain) == b || w.random.IntN(20) == 0; {
 		case b.up && first && !loaded:
-			o := w.object(b.domain)
+			o := w.storedObject(b.domain)
 			seen = o.revision
-			k.Load(w.now, int64(w.now), w.sheet(o.data))
+			k.Load(w.now, int64(w.now), w.decodeSheet(o.data))
 			loaded = true
 		case b.up && first:
-			seen = w.writes(b, k, seen)
+			seen = w.writeDueSheets(b, k, seen)
 		case b.up && loaded:
 			k.Clear()
 			loaded = false
@@ -102,7 +102,7 @@
 	w.schedule(clock.Millis(1+w.random.IntN(100)), tick)
 }
 
-func (w *simulation) first(domain string) *simBalancer {
+func (w *simulation) firstBalancer(domain string) *simBalancer {
 	for _, b := range w.balancers {
 		if b.up && b.domain == domain {
 			return b
@@ -111,14 +111,14 @@
 	return nil
 }
 
-// writes writes what is due and returns the revision that the balancer knows then. A
-// write may be carried out seconds later, and its answer may be lost.
-func (w *simulation) writes(b *simBalancer, k *checkpoint.Keeper, seen int) int {
-	o := w.object(b.domain)
+// writeDueSheets writes the sheets that are due and returns the revision then known to the
+// balancer. A write may take effect seconds later, and its response may be lost.
+func (w *simulation) writeDueSheets(b *simBalancer, k *checkpoint.Keeper, seen int) int {
+	o := w.storedObject(b.domain)
 	for _, sheet := range k.Due(w.now) {
 		data, err := json.Marshal(sheet)
 		if err != nil {
-			w.fail("a sheet cannot be written: %v", err)
+			w.fail("cannot encode a sheet: %v", err)
 		}
 		known := seen
 		switch {
@@ -130,7 +130,7 @@
 			w.acknowledge(b, k.Wrote(sheet.Shard))
 		default:
 			seen = o.revision
-			k.Load(w.now, int64(w.now), w.sheet(o.data))
+			k.Load(w.now, int64(w.now), w.decodeSheet(o.data))
 			k.Failed(sheet.Shard)
 		}
 		k.Rest(w.now, w.random.Float64())
@@ -146,18 +146,18 @@
 	}
 }
 
-// hearKeep gives a balancer a part of an agent's checkpoint.
-func (w *simulation) hearKeep(b *simBalancer, from netip.AddrPort, c *wire.Checkpoint) {
+// handleCheckpoint passes a part of an agent's checkpoint to a balancer.
+func (w *simulation) handleCheckpoint(b *simBalancer, from netip.AddrPort, c *wire.Checkpoint) {
 	if !b.steerer.Keeper() {
 		return
 	}
 	if err := b.keeper.Hear(w.now, int64(w.now), from, c); err != nil {
-		w.fail("a checkpoint cannot be read: %v", err)
+		w.fail("cannot handle a checkpoint: %v", err)
 	}
 }
 
-// power takes all VMs away at once; callers stay.
-func (w *simulation) power() {
+// losePower kills all VMs at once; callers stay.
+func (w *simulation) losePower() {
 	for _, b := range w.balancers {
 		w.killBalancer(b)
 	}
--- a/internal/connection/stream/upstream.go
+++ b/internal/connection/stream/upstream.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// youngSequence is how many heartbeats a target may have tried at the first one
-	// that is heard for no earlier process of the agent to have served it, and
-	// youngPart the part of the pause between two heartbeats within which that must be,
-	// in percent: once one is acknowledged, the next comes after the whole pause.
-	youngSequence = 6
-	youngPart     = 75
-	// beatSlack is how much later than planned a heartbeat may come.
-	beatSlack = 200 * clock.Millis(1)
+	// maxFirstSequence and maxFirstAgePercent apply to the first heartbeat that this
+	// process receives: an earlier process of the agent cannot have served the target if
+	// the target has tried at most that many heartbeats and is younger than that percentage
+	// of the heartbeat interval. Once a heartbeat is acknowledged, the next one follows
+	// after a whole interval.
+	maxFirstSequence   = 6
+	maxFirstAgePercent = 75
+	// heartbeatSlack is how late a heartbeat may arrive.
+	heartbeatSlack = 200 * clock.Millis(1)
 )
 
-// Beat is what a target says of itself in one heartbeat.
-type Beat struct {
+// Heartbeat is a target's heartbeat.
+type Heartbeat struct {
 	Service string
-	// Born is the target's start, and Sequence counts its heartbeats.
+	// Born is the target's start time; Sequence counts its heartbeats.
 	Born     uint64
 	Sequence uint64
-	// Age is how long ago that was, by the clock of the VM.
+	// Age is the time since Born, by the VM's clock.
 	Age      clock.Millis
 	Draining bool
 	Slots    int
@@ -30,173 +31,172 @@
 	Cold clock.Millis
 }
 
-// upstream is what an agent knows of its target.
+// upstream is the agent's state of its target.
 type upstream struct {
 	known    bool
 	born     uint64
 	sequence uint64
-	// beats counts the heartbeats that were heard of this start.
-	beats     int
-	draining  bool
-	gone      bool
-	slots     int
-	coldUntil clock.Millis
-	// beat is when the last heartbeat came, and seen the last sign of life.
-	beat clock.Millis
-	seen clock.Millis
-	// pending is when the first opening was handed over since the target's last
-	// packet; zero if none was.
-	pending clock.Millis
-	// checked is when it was last looked whether the target is there; refused and
-	// unanswered count what was found since its last sign of life.
-	checked    clock.Millis
-	refused    int
-	unanswered int
-	// listens tells that the last look found a process.
-	listens bool
-	// outlier judges how it ends requests.
+	// heartbeats counts the heartbeats received from this incarnation.
+	heartbeats int
+	draining   bool
+	gone       bool
+	slots      int
+	coldUntil  clock.Millis
+	// lastHeartbeat is when the last heartbeat arrived; lastSeen also covers packets.
+	lastHeartbeat clock.Millis
+	lastSeen      clock.Millis
+	// pendingSince is when the first opening since the target's last packet was passed to
+	// it, or zero.
+	pendingSince clock.Millis
+	// lastDial is when the target was last dialed; refusedDials and unansweredDials count
+	// the failed dials since it was last seen.
+	lastDial        clock.Millis
+	refusedDials    int
+	unansweredDials int
+	// listening is set if the last dial succeeded.
+	listening bool
+	// outlier detects that the target fails requests.
 	outlier outlier
 }
 
-// sign notes a sign of life.
-func (u *upstream) sign(now clock.Millis) {
-	u.seen, u.pending, u.refused, u.unanswered = now, 0, 0, 0
+// recordActivity records that the target is alive.
+func (u *upstream) recordActivity(now clock.Millis) {
+	u.lastSeen, u.pendingSince, u.refusedDials, u.unansweredDials = now, 0, 0, 0
 }
 
-// down reports that there is no target process.
+// down reports whether no target process is running.
 func (u *upstream) down() bool {
-	return u.refused >= absences
+	return u.refusedDials >= minFailedDials
 }
 
-// missing reports that nothing was heard of the target yet, and that nobody listens
-// at its address.
-func (u *upstream) missing() bool {
-	return !u.known && u.seen == 0 && !u.listens
+// notFound reports whether nothing has been received from the target yet and no process
+// listens at its address.
+func (u *upstream) notFound() bool {
+	return !u.known && u.lastSeen == 0 && !u.listening
 }
 
-// Beat takes a heartbeat of the target. It is to be acknowledged after this: the
-// target goes by the acknowledgement when it leaves.
+// HandleHeartbeat handles a heartbeat of the target. It must be acknowledged only
+// afterwards: a target that leaves relies on the acknowledgement.
 //
-// A target that started anew has none of the flows of before. Their callers are
-// told at once, so that they come back instead of waiting. Flows that were opened since
-// the last heartbeat of the earlier one may be the new one's.
-func (h *Holder) Beat(now clock.Millis, b Beat) {
-	u := &h.upstream
-	if u.late(now, b, h.settings.SilentAfter) {
+// A restarted target has none of its earlier flows. Their callers are reset at once, so
+// that they reconnect instead of waiting. Flows opened after the last heartbeat of the
+// earlier incarnation may belong to the new one.
+func (tr *Tracker) HandleHeartbeat(now clock.Millis, b Heartbeat) {
+	u := &tr.upstream
+	if u.outdated(now, b, tr.settings.HeartbeatTimeout) {
 		return
 	}
-	before := h.condition(now)
+	before := tr.condition(now)
 	switch {
 	case !u.known:
-		h.complete = h.sawAll(b)
+		tr.sawAllFlows = tr.sawAllOpenings(b)
 	case b.Born != u.born:
-		h.resetBefore(u.beat, "the target started anew")
-		h.complete = true
+		tr.resetFlowsBefore(u.lastHeartbeat, "the target restarted")
+		tr.sawAllFlows = true
 		*u = upstream{}
 	}
-	if !u.known && !h.complete {
-		h.window.Unknown(now)
+	if !u.known && !tr.sawAllFlows {
+		tr.window.Unknown(now)
 	}
 	u.known, u.gone = true, false
 	u.born, u.sequence, u.draining = b.Born, b.Sequence, b.Draining
 	u.slots, u.coldUntil = b.Slots, now+b.Cold
-	u.beat = now
-	u.beats++
-	u.sign(now)
-	h.judgePast(now)
-	if after := h.condition(now); after != before {
+	u.lastHeartbeat = now
+	u.heartbeats++
+	u.recordActivity(now)
+	tr.judgePrevious(now)
+	if after := tr.condition(now); after != before {
 		reason := after.String()
-		if !h.complete {
-			reason += ", its earlier flows are not known"
+		if !tr.sawAllFlows {
+			reason += ", earlier flows are unknown"
 		}
-		h.out.record(Event{Kind: Upstream, Reason: reason, Service: h.settings.Service, Count: int(b.Sequence), Age: b.Age})
+		tr.out.record(Event{Kind: Upstream, Reason: reason, Service: tr.settings.Service, Count: int(b.Sequence), Age: b.Age})
 	}
 }
 
-// sawAll reports, at the first heartbeat that this process hears, that no earlier
-// process of the agent has opened flows at the target: an agent opens none before it
-// acknowledges a heartbeat, and then the target would have waited before this one. The
-// VM's clock may have been set between the target's start and now, so the number of
-// heartbeats must fit as well.
-func (h *Holder) sawAll(b Beat) bool {
+// sawAllOpenings reports, for the first heartbeat that this process receives, whether no
+// earlier process of the agent has opened flows at the target. An agent opens no flows
+// before it acknowledges a heartbeat, and after an acknowledgement the target would have
+// waited a whole interval before this heartbeat. The VM's clock may have been set since the
+// target's start, so the number of heartbeats must match as well.
+func (tr *Tracker) sawAllOpenings(b Heartbeat) bool {
 	if b.Sequence <= 1 {
 		return true
 	}
-	young := b.Age >= 0 && b.Age <= h.settings.Heartbeat*youngPart/100
-	return b.Sequence <= youngSequence && b.Born != 0 && young
+	young := b.Age >= 0 && b.Age <= tr.settings.Heartbeat*maxFirstAgePercent/100
+	return b.Sequence <= maxFirstSequence && b.Born != 0 && young
 }
 
-// late reports a heartbeat that was overtaken. The start of a target orders its
-// incarnations unless the VM's clock was set back between them: then the later
-// one seems older, but the one that it follows is silent.
-func (u *upstream) late(now clock.Millis, b Beat, silent clock.Millis) bool {
+// outdated reports whether a heartbeat arrived after a later one. Incarnations are ordered
+// by their start times unless the VM's clock was set back in between: then the later one
+// seems older, but the earlier one is silent.
+func (u *upstream) outdated(now clock.Millis, b Heartbeat, timeout clock.Millis) bool {
 	if !u.known {
 		return false
 	}
 	if b.Born == u.born {
 		return b.Sequence <= u.sequence
 	}
-	return b.Born < u.born && now.Sub(u.beat) < silent
+	return b.Born < u.born && now.Sub(u.lastHeartbeat) < timeout
 }
 
-// Leave notes that the target has said that it ends. Its flows end with it.
-func (h *Holder) Leave(now clock.Millis) {
-	h.upstream.gone = true
-	h.out.record(Event{Kind: Upstream, Reason: "left", Service: h.settings.Service, Age: now.Sub(h.upstream.beat)})
+// RecordLeave records that the target has announced its end. Its flows end with it.
+func (tr *Tracker) RecordLeave(now clock.Millis) {
+	tr.upstream.gone = true
+	tr.out.record(Event{Kind: Upstream, Reason: "left", Service: tr.settings.Service, Age: now.Sub(tr.upstream.lastHeartbeat)})
 }
 
-// Stop tells the callers of flows whose target has ended. It must only be called
-// once the process ends: where the target has left, it has ended before its
-// agent is told to.
+// Stop resets the flows of a target that has ended. It must be called only when the process
+// ends: a target that has left ends before its agent is stopped.
 //
-// A target of which there is no process has left as well, whether it said so or
-// not: its VM may be taken away, and balancers need not wait for this agent.
-func (h *Holder) Stop(now clock.Millis) {
-	h.stopping = true
-	h.upstream.gone = h.upstream.gone || h.upstream.down() || h.empty(now)
-	if h.upstream.gone {
-		h.resetBefore(now+1, "the target has ended")
+// A target without a process counts as having left even if it did not announce it: its VM
+// may be removed, and balancers need not wait for this agent.
+func (tr *Tracker) Stop(now clock.Millis) {
+	tr.stopping = true
+	tr.upstream.gone = tr.upstream.gone || tr.upstream.down() || tr.noTarget(now)
+	if tr.upstream.gone {
+		tr.resetFlowsBefore(now+1, "the target has ended")
 	}
 }
 
 // Gone reports whether the target has left.
-func (h *Holder) Gone() bool {
-	return h.upstream.gone
+func (tr *Tracker) Gone() bool {
+	return tr.upstream.gone
 }
 
-// resetBefore ends the flows that were opened before a time at their callers.
-func (h *Holder) resetBefore(before clock.Millis, reason string) {
+// resetFlowsBefore resets the flows that were opened before the given time.
+func (tr *Tracker) resetFlowsBefore(before clock.Millis, reason string) {
 	ended := 0
-	for _, id := range h.flows.Keys() {
-		f, ok := h.flows.Peek(id)
-		if !ok || f.opened >= before {
+	for _, id := range tr.flows.Keys() {
+		f, ok := tr.flows.Peek(id)
+		if !ok || f.openedAt >= before {
 			continue
 		}
-		h.flows.Remove(id)
-		h.denied.Add(id, struct{}{})
-		if f.ended == 0 && f.open {
-			h.out.Resets = append(h.out.Resets, Reset{Flow: id, Seq: f.ack})
+		tr.flows.Remove(id)
+		tr.denied.Add(id, struct{}{})
+		if f.endedAt == 0 && f.open {
+			tr.out.Resets = append(tr.out.Resets, Reset{Flow: id, Seq: f.ack})
 			ended++
 		}
 	}
 	if ended > 0 {
-		h.out.record(Event{Kind: FlowReset, Service: h.settings.Service, Reason: reason, Count: ended})
+		tr.out.record(Event{Kind: FlowReset, Service: tr.settings.Service, Reason: reason, Count: ended})
 	}
 }
 
-// Accepting reports whether the target takes new flows. One that fails requests
-// does: balancers send it some only where there is no better one.
-func (h *Holder) Accepting(now clock.Millis) bool {
-	c := h.condition(now)
+// Accepting reports whether the target accepts new flows. A failing target does: balancers
+// choose it only if there is no better one.
+func (tr *Tracker) Accepting(now clock.Millis) bool {
+	c := tr.condition(now)
 	return c == wire.Condition_CONDITION_READY || c == wire.Condition_CONDITION_FAILING
 }
 
-func (h *Holder) condition(now clock.Millis) wire.Condition {
-	u := &h.upstream
+func (tr *Tracker) condition(now clock.Millis) wire.Condition {
+	u := &tr.upstream
 	switch {
-	case u.gone || h.empty(now):
+	case u.gone || tr.noTarget(now):
 		return wire.Condition_CONDITION_GONE
-	case !u.known || u.down() || now.Sub(u.beat) > h.settings.SilentAfter:
+	case !u.known || u.down() || now.Sub(u.lastHeartbeat) > tr.settings.HeartbeatTimeout:
 		return wire.Condition_CONDITION_UNKNOWN
 	case u.draining:
 		return wire.Condition_CONDITION_DRAINING
@@ -207,7 +207,7 @@
 	}
 }
 
-// Flows returns how many flows are remembered.
-func (h *Holder) Flows() int {
-	return h.flows.Len()
+// Flows returns the number of tracked flows.
+func (tr *Tracker) Flows() int {
+	return tr.flows.Len()
 }
--- a/internal/connection/stream/world_test.go
+++ b/internal/connection/stream/world_test.go
@@ -79,7 +79,7 @@
 	served    int
 	failures  []string
 	// objects are the stored checkpoints, by failure domain.
-	objects map[string]*worldObject
+	objects map[string]*simObject
 	// trace, if set, is called with all events.
 	trace func(who string, events []Event)
 }
@@ -113,7 +113,7 @@
 	address netip.AddrPort
 	domain  string
 	service string
-	tracker *Holder
+	tracker *Tracker
 	epoch   uint64
 	up      bool
 	target  *simTarget
@@ -158,7 +158,7 @@
 	w := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: 24 * clock.Hour,
 		blocked: map[[2]netip.AddrPort]bool{}, allowed: map[string]bool{},
-		objects:   map[string]*worldObject{},
+		objects:   map[string]*simObject{},
 		snapshots: []evacuation.Snapshot{evacuation.New(1, nil)}, evacuated: map[string]clock.Millis{},
 	}
 	w.setTable(1, "one")
@@ -284,7 +284,7 @@
 		w.schedule(20, tick)
 	}
 	w.schedule(1, tick)
-	w.keeps(b)
+	w.runKeeper(b)
 }
 
 // summarize simulates the relays: each balancer sends the state of its failure domain's
@@ -298,8 +298,8 @@
 		b.summaryNumber++
 		parts = b.steerer.Summary(w.now, uint64(b.born), b.summaryNumber, false)
 		w.resendEvacuations(b)
-	case b.steerer.HasNews():
-		parts = b.steerer.News(w.now, false)
+	case b.steerer.HasChanges():
+		parts = b.steerer.Changes(w.now, false)
 	}
 	for _, other := range w.balancers {
 		if other.domain == b.domain {
@@ -309,7 +309,7 @@
 			p = copyParcel(&wire.Parcel{Summary: p}).Summary
 			w.transmit(b.address, other.address, func() {
 				if other.up {
-					other.steerer.HearSummary(w.now, p)
+					other.steerer.HandleSummary(w.now, p)
 					w.flushBalancer(other)
 				}
 			})
@@ -324,7 +324,7 @@
 	for _, other := range w.balancers {
 		w.transmit(b.address, other.address, func() {
 			if other.up {
-				other.steerer.TakeEvacuations(w.now, s)
+				other.steerer.UpdateEvacuations(w.now, s)
 				w.flushBalancer(other)
 			}
 		})
@@ -337,7 +337,7 @@
 	all := w.now.Sub(b.born) > 700
 	for _, a := range w.agents {
 		t, ok := b.steerer.Targets.Find(a.address)
-		if a.up && !a.tracker.Gone() && (!ok || t.Heard == 0) {
+		if a.up && !a.tracker.Gone() && (!ok || t.HeardAt == 0) {
 			all = false
 		}
 	}
@@ -369,7 +369,7 @@
 		}
 		w.transmit(b.address, relay.address, func() {
 			if relay.up {
-				relay.steerer.HandOn(w.now, b.address, p)
+				relay.steerer.RelayQuestions(w.now, b.address, p)
 				w.flushBalancer(relay)
 			}
 		})
@@ -382,7 +382,7 @@
 			if !a.up {
 				return
 			}
-			a.tracker.Hear(w.now, b.address, p, packetSegment(p))
+			a.tracker.HandleParcel(w.now, b.address, p, packetSegment(p))
 			w.flushAgent(a)
 		})
 	}
--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -279,7 +279,7 @@
 	case wire.Verb_VERB_SUMMARY:
 		b.handleSummary(now, from, p.Summary)
 	case wire.Verb_VERB_ASK:
-		if !b.steerer.HandOn(now, from, p) {
+		if !b.steerer.RelayQuestions(now, from, p) {
 			b.refusedQuestions.Inc(1)
 		}
 	default:
--- a/internal/process/streambalancer/evacuations.go
+++ b/internal/process/streambalancer/evacuations.go
@@ -93,7 +93,7 @@
 // differs. The caller holds the lock.
 func (b *Balancer) applyEvacuations(now clock.Millis, s evacuation.Snapshot, from string) {
 	before := b.steerer.Evacuations()
-	changed := b.steerer.TakeEvacuations(now, s)
+	changed := b.steerer.UpdateEvacuations(now, s)
 	if b.steerer.Evacuations().Revision != before.Revision {
 		b.evacuationsCheckedAt = now
 	}
--- a/internal/process/streambalancer/news.go
+++ b/internal/process/streambalancer/news.go
@@ -53,7 +53,7 @@
 func (b *Balancer) eachContact(each func(a netip.AddrPort, c func() *wire.Contact)) {
 	now := b.deps.Clock.Now()
 	b.steerer.Targets.Each(func(t *stream.Target) {
-		if t.Heard != 0 && !t.Lost(now) {
+		if t.HeardAt != 0 && !t.Lost(now) {
 			each(t.Address, func() *wire.Contact { return newContact(t.Address, t.Name, t.Domain, t.Service) })
 		}
 	})
@@ -79,7 +79,7 @@
 	now := b.deps.Clock.Now()
 	v := View{}
 	b.steerer.Targets.Each(func(t *stream.Target) {
-		if t.Heard == 0 {
+		if t.HeardAt == 0 {
 			return
 		}
 		h := addressHash(t.Address)
@@ -103,7 +103,7 @@
 	b.setSettled(b.peers.Settled(now, digest, func(domain string) bool {
 		return b.steerer.Targets.Complete(now, domain)
 	}))
-	b.steerer.Targets.SetSharers(len(b.peers.LocalPeers(now)) + 1)
+	b.steerer.Targets.SetBalancers(len(b.peers.LocalPeers(now)) + 1)
 	for _, p := range b.peers.DueForNews(now) {
 		n := b.buildNews(view, p.Address)
 		if p.HeardAt == 0 && b.peers.allowContactRequest(now, p) {
--- a/internal/process/streambalancer/relays_test.go
+++ b/internal/process/streambalancer/relays_test.go
@@ -239,7 +239,7 @@
 		for _, s := range f.processes[size.domains:size.balancers] {
 			remote := 0
 			s.balancer.steerer.Targets.Each(func(target *stream.Target) {
-				if target.Domain != s.domain && target.Opens(s.clock.Now()) {
+				if target.Domain != s.domain && target.AcceptsFlows(s.clock.Now()) {
 					remote++
 				}
 			})
--- a/internal/process/streambalancer/settled.go
+++ b/internal/process/streambalancer/settled.go
@@ -21,7 +21,7 @@
 	// other balancer: two reports of each agent, plus propagationTime. With other
 	// balancers, agents report to them in turn; the wait covers three reports and at least
 	// minStartDelay, as agents may start a little later than balancers.
-	soloStartDelay  = 2*stream.ReportEvery + propagationTime
+	soloStartDelay  = 2*stream.ReportInterval + propagationTime
 	minStartDelay   = clock.Second
 	propagationTime = 200 * clock.Millis(1)
 	// noRelayStartDelay is the minimum if a failure domain has no balancer that sends
@@ -165,7 +165,7 @@
 	}
 	slices.Sort(runningSince)
 	for i, at := range runningSince {
-		wait := 3*stream.ReportEvery/clock.Millis(i+1) + propagationTime
+		wait := 3*stream.ReportInterval/clock.Millis(i+1) + propagationTime
 		if now.Sub(at) > max(wait, minStartDelay) {
 			return true
 		}
--- a/internal/process/streambalancer/sim_test.go
+++ b/internal/process/streambalancer/sim_test.go
@@ -70,7 +70,7 @@
 	// busyUntil is when it has handled everything that has arrived.
 	busyUntil float64
 	balancer  *Balancer
-	holder    *stream.Holder
+	holder    *stream.Tracker
 	clock     *clock.Manual
 	// reportBalancers are the balancers to which an agent reports.
 	reportBalancers *streamagent.Balancers
@@ -184,7 +184,7 @@
 	if p.Verb == wire.Verb_VERB_PROBE {
 		to.reportBalancers.Probed(now, from, p.Report.Domain)
 	}
-	to.holder.Hear(now, from, p, nil)
+	to.holder.HandleParcel(now, from, p, nil)
 	f.flush(to)
 }
 
@@ -264,7 +264,7 @@
 		if s.holder == nil {
 			continue
 		}
-		if t, ok := b.steerer.Targets.Find(s.address); !ok || t.Heard == 0 {
+		if t, ok := b.steerer.Targets.Find(s.address); !ok || t.HeardAt == 0 {
 			n++
 		}
 	}
@@ -303,7 +303,7 @@
 		}
 		now := f.syncClock(s)
 		// Callers open flows all the time.
-		b.steerer.Targets.Choose(now, stream.Demand{Service: "one"})
+		b.steerer.Targets.Choose(now, stream.PlacementRequest{Service: "one"})
 		pause := b.step()
 		if s.settledAfter == 0 && b.settled {
 			s.settledAfter = f.now - s.startAt
@@ -318,11 +318,11 @@
 // probe it.
 func (f *simFleet) startAgent(s *simProcess, i, balancers int) {
 	now := f.syncClock(s)
-	s.holder = stream.NewHolder(now, stream.HolderSettings{
+	s.holder = stream.NewTracker(now, stream.TrackerSettings{
 		Name: fmt.Sprintf("side-place-%s-%d", s.domain, i), Domain: s.domain, Service: "one", Epoch: uint64(s.startAt) + 1,
-		Port: 7000, Flows: 100, FlowLife: clock.Minute, Heartbeat: 1200, SilentAfter: 3600,
+		Port: 7000, MaxFlows: 100, FlowTTL: clock.Minute, Heartbeat: 1200, HeartbeatTimeout: 3600,
 	})
-	s.holder.Beat(now, stream.Beat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
+	s.holder.HandleHeartbeat(now, stream.Heartbeat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
 	s.reportBalancers = streamagent.NewBalancers(now, s.domain)
 	f.schedule(60_000, func() {
 		for j := range balancers {
@@ -334,7 +334,7 @@
 	var step func()
 	step = func() {
 		now := f.syncClock(s)
-		s.holder.Tell(now, s.reportBalancers.Due(now, s.holder.Loaded()))
+		s.holder.SendReport(now, s.reportBalancers.Due(now, s.holder.Loaded()))
 		s.holder.Tick(now)
 		f.flush(s)
 		f.schedule(50_000, step)
--- a/internal/process/streambalancer/summaries.go
+++ b/internal/process/streambalancer/summaries.go
@@ -37,10 +37,10 @@
 		b.sendSummaries(now, index, b.steerer.Summary(now, b.peers.self.Epoch, r.summaryNumber, complete))
 	case now.Sub(r.loadsSentAt) >= loadsInterval:
 		r.changesSentAt, r.loadsSentAt = now, now
-		b.sendSummaries(now, index, b.steerer.News(now, true))
-	case b.steerer.HasNews() && now.Sub(r.changesSentAt) >= minChangesInterval:
+		b.sendSummaries(now, index, b.steerer.Changes(now, true))
+	case b.steerer.HasChanges() && now.Sub(r.changesSentAt) >= minChangesInterval:
 		r.changesSentAt = now
-		b.sendSummaries(now, index, b.steerer.News(now, false))
+		b.sendSummaries(now, index, b.steerer.Changes(now, false))
 	}
 }
 
@@ -75,5 +75,5 @@
 			}
 		}
 	}
-	b.steerer.HearSummary(now, m)
+	b.steerer.HandleSummary(now, m)
 }
--- a/internal/process/streambalancer/tick.go
+++ b/internal/process/streambalancer/tick.go
@@ -62,7 +62,7 @@
 // those of other failure domains.
 func (b *Balancer) reportTargets(now clock.Millis) {
 	answering, all := b.steerer.Targets.Answering(now)
-	remote, age := b.steerer.Targets.FarAge(now)
+	remote, age := b.steerer.Targets.RemoteAge(now)
 	b.deps.Scope.Gauge("targets").Update(float64(all))
 	b.deps.Scope.Gauge("targets_far_age_ms").Update(float64(age))
 	if b.deps.Evacuations != nil {
