--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -167,13 +167,13 @@
 	id := target.IDOf("a")
 	set := target.NewSet(1, []target.Candidate{{ID: id, Name: "a", Incarnation: 1}})
 	view := owner.NewObserver(id).View(0, set, 1, clock.Second)
-	t := owner.NewTable(owner.Limits{Flows: n + 1, Memory: 1000, Idle: clock.Hour, Opening: clock.Hour}, owner.NewLoads(clock.Hour))
+	t := owner.NewTable(owner.Limits{MaxFlows: n + 1, MaxPlacements: 1000, IdleTimeout: clock.Hour, UnansweredTimeout: clock.Hour}, owner.NewPeerLoads(clock.Hour))
 	for i := range n {
 		e := &wire.Envelope{
 			Kind: wire.Kind_KIND_FORWARD, Stage: wire.Stage_STAGE_PLACED, Service: 1, Target: id, Incarnation: 1,
 			Caller: envelope.AppendCaller(nil, caller(i)), Budget: 9, Payload: []byte{0x80},
 		}
-		t.Take(owner.Arrival{Now: clock.Hour, Envelope: e, Via: caller(i)}, view, owner.Own{Accepting: true}, dialer)
+		t.Take(owner.Arrival{Now: clock.Hour, Envelope: e, Via: caller(i)}, view, owner.LocalState{Accepting: true}, dialer)
 	}
 	return t
 }
--- a/internal/connection/owner/decide.go
+++ b/internal/connection/owner/decide.go
@@ -15,41 +15,41 @@
 
 // Actions.
 const (
-	// Drop ends the datagram here. Its caller is told nothing, for an
+	// Drop discards the datagram. The caller is not notified, because an
 	// upstream may have seen the flow.
 	Drop Action = iota
-	// Deliver hands the payload to the upstream on Decision.Flow.
+	// Deliver sends the payload to the upstream on Decision.Flow.
 	Deliver
 	// Pass sends the rewritten envelope to Decision.To.
 	Pass
-	// Refuse tells the caller that nothing ran.
+	// Refuse notifies the caller that no upstream has received the datagram.
 	Refuse
 )
 
-// String returns the action's name, as traces show it.
+// String returns the action's name as it appears in traces.
 func (a Action) String() string {
 	return [...]string{"drop", "deliver", "pass", "refuse"}[a]
 }
 
-// Reason tells why a datagram was dropped or refused; each is counted.
+// Reason is why a datagram was dropped or refused. Each has a counter.
 type Reason string
 
 // Reasons.
 const (
-	NoReason     Reason = ""
-	Misaddressed Reason = "misaddressed"
-	NoOwner      Reason = "unowned"
-	NoBudget     Reason = "budget"
-	Contested    Reason = "contested"
-	Late         Reason = "late"
-	Unknown      Reason = "unknown"
-	NoTarget     Reason = "full"
-	NoSocket     Reason = "sockets"
+	NoReason         Reason = ""
+	Misaddressed     Reason = "misaddressed"
+	NoOwner          Reason = "unowned"
+	HopLimitReached  Reason = "budget"
+	ConcurrentSearch Reason = "contested"
+	StaleSearch      Reason = "late"
+	UnknownStage     Reason = "unknown"
+	NoTarget         Reason = "full"
+	NoSocket         Reason = "sockets"
 )
 
 // Reasons lists all reasons, for counters.
 var Reasons = []Reason{
-	NoReason, Misaddressed, NoOwner, NoBudget, Contested, Late, Unknown, NoTarget, NoSocket,
+	NoReason, Misaddressed, NoOwner, HopLimitReached, ConcurrentSearch, StaleSearch, UnknownStage, NoTarget, NoSocket,
 }
 
 // Decision is the outcome for one envelope.
@@ -58,64 +58,64 @@
 	Reason Reason
 	Flow   *Flow
 	To     *target.Candidate
-	// Searcher is the home whose search has found the flow here. It is to
-	// be told, so that it does not search again without this target.
+	// Searcher is the home whose search has found the flow here. It must be
+	// notified, so that it does not search again without this target.
 	Searcher *target.Candidate
-	// Adopted tells that the flow began with this datagram.
+	// Adopted is set if the flow was opened by this datagram.
 	Adopted bool
-	// Moved tells that the caller of an open flow has a new address.
+	// Moved is set if the caller of an open flow has a new address.
 	Moved bool
-	// Outlived is how long the flow was silent when the datagram came, where this
-	// target has ended it as idle; told once a flow. Its connection lasts longer than
-	// the answers say, and is broken.
-	Outlived clock.Millis
+	// ExpiredIdle is how long the flow had been silent when the datagram arrived,
+	// if this target has expired the flow; it is set once for each flow. The
+	// connection lasts longer than the idle timeout allows, and is broken.
+	ExpiredIdle clock.Millis
 }
 
-// packet is one envelope on its way through the decisions. The lock of its
-// shard is held throughout.
+// packet is an envelope that is being decided about. The lock of its shard is
+// held throughout.
 type packet struct {
 	now    clock.Millis
 	e      *wire.Envelope
 	caller netip.AddrPort
 	view   *View
-	own    Own
+	local  LocalState
 	dialer Dialer
 	random float64
 	via    netip.AddrPort
 	shard  *shard
 }
 
-// Arrival is an envelope with what the shell knows about its arrival.
+// Arrival is an envelope with the circumstances of its arrival.
 type Arrival struct {
 	Now      clock.Millis
 	Envelope *wire.Envelope
-	// Via is the balancer's socket to answer through. For an envelope that
-	// a peer passed on it is invalid, and the flow's last one stays.
+	// Via is the balancer's address to answer through. For an envelope that
+	// a peer passed on it is invalid, and the flow keeps its last one.
 	Via netip.AddrPort
-	// Random is drawn evenly from [0, 1) for this arrival.
+	// Random is drawn uniformly from [0, 1) for this arrival.
 	Random float64
 }
 
-// Take decides about one forwarded envelope and rewrites it where it is to be
+// Take decides about one forwarded envelope, and rewrites it if it is to be
 // passed on.
 //
-// An envelope may name an earlier incarnation: its sender has not heard of the
-// restart. This agent has its predecessor's ledger, so it answers for it. Where
-// there is no ledger the predecessor's flows are lost, and the answer that nobody
-// owns the flow is true as well.
+// An envelope may name an earlier incarnation, whose sender has not learned of
+// the restart yet. This agent has its predecessor's ledger, so it answers for it.
+// Without a ledger the predecessor's flows are lost, and the answer that no target
+// owns the flow is correct as well.
 //
-// Searches that name an earlier incarnation are answered all the same: dropped, they
-// would leave openings undecided until the news are everywhere. A later incarnation
-// means that a successor has the ledger, and another service that the address was
-// given away.
-func (t *Table) Take(a Arrival, view *View, own Own, dialer Dialer) Decision {
+// Searches that name an earlier incarnation are answered too: if they were dropped,
+// openings would stay undecided until the restart is known everywhere. A later
+// incarnation means that a successor has the ledger, and another service means that
+// the address was reassigned.
+func (t *Table) Take(a Arrival, view *View, own LocalState, dialer Dialer) Decision {
 	e := a.Envelope
 	if e.Service != view.Set.Service || e.Target != view.Self || e.Incarnation > view.Incarnation {
 		return Decision{Reason: Misaddressed}
 	}
 	caller := envelope.Caller(e.Caller)
 	p := &packet{
-		now: a.Now, e: e, caller: caller, view: view, own: own,
+		now: a.Now, e: e, caller: caller, view: view, local: own,
 		dialer: dialer, random: a.Random, via: a.Via, shard: t.shard(caller),
 	}
 	p.shard.mu.Lock()
@@ -125,24 +125,24 @@
 	}
 	switch e.Stage {
 	case wire.Stage_STAGE_OWNED:
-		silent := p.outlived()
-		d := t.walk(p)
-		d.Outlived = silent
+		idle := p.takeExpiredIdle()
+		d := t.handleOwned(p)
+		d.ExpiredIdle = idle
 		return d
 	case wire.Stage_STAGE_MOVED:
-		return t.recognise(p)
+		return t.handleMoved(p)
 	case wire.Stage_STAGE_OPEN:
-		return t.open(p)
+		return t.handleOpen(p)
 	case wire.Stage_STAGE_SEARCH:
-		return t.search(p)
+		return t.handleSearch(p)
 	case wire.Stage_STAGE_SEARCHED:
-		return t.searched(p)
+		return t.handleSearched(p)
 	case wire.Stage_STAGE_PLACED:
-		return t.placed(p)
+		return t.handlePlaced(p)
 	case wire.Stage_STAGE_DECLINED:
-		return t.declined(p)
+		return t.handleDeclined(p)
 	default:
-		return Decision{Reason: Unknown}
+		return Decision{Reason: UnknownStage}
 	}
 }
 
@@ -154,7 +154,7 @@
 	if len(p.e.Trace) > 0 {
 		f.Trace = slices.Clone(p.e.Trace)
 	}
-	t.ids.received(f, p.e.Payload)
+	t.connectionIDs.learnUsed(f, p.e.Payload)
 	d := Decision{Action: Deliver, Flow: f}
 	if p.e.Stage == wire.Stage_STAGE_SEARCH {
 		d.Searcher, _ = p.view.Set.Find(p.e.Home)
@@ -162,12 +162,12 @@
 	return d
 }
 
-// walk passes a datagram that opens nothing on to the next target. What this
-// target remembers of the flow goes first.
-func (t *Table) walk(p *packet) Decision {
-	p.visit()
-	if n, ok := p.shard.memory.Get(p.caller); ok {
-		if c, ok := p.unvisited(n.to); ok {
+// handleOwned passes a datagram that opens no flow to the next target. The
+// target in this one's record of the flow is tried first.
+func (t *Table) handleOwned(p *packet) Decision {
+	p.markVisited()
+	if r, ok := p.shard.records.Get(p.caller); ok {
+		if c, ok := p.findUnvisited(r.to); ok {
 			return p.pass(c)
 		}
 	}
@@ -176,55 +176,56 @@
 	}
 	p.e.Stage = wire.Stage_STAGE_MOVED
 	p.e.Visited = p.e.Visited[:0]
-	return t.recognise(p)
+	return t.handleMoved(p)
 }
 
-// recognise is the second round of a walk that found no owner: the caller may
-// have a new address. It comes after the first round has ended, so that an
-// identifier which two targets happen to share never takes a datagram away
-// from the owner of its addresses.
-func (t *Table) recognise(p *packet) Decision {
-	if _, ok := t.ids.find(p.e.Payload); ok {
+// handleMoved looks a flow up by its connection ID, after a first round over the
+// targets has found no owner: the caller may have a new address. It runs only
+// after the first round has ended, so that a connection ID that two targets happen
+// to share never diverts a datagram from the owner of its addresses.
+func (t *Table) handleMoved(p *packet) Decision {
+	if _, ok := t.connectionIDs.find(p.e.Payload); ok {
 		d := t.adopt(p, p.view.Self)
 		d.Moved = d.Adopted
 		return d
 	}
-	p.visit()
+	p.markVisited()
 	if c, ok := p.view.Set.Next(p.e.Caller, p.e.Visited); ok {
 		return p.pass(c)
 	}
 	return Decision{Reason: NoOwner}
 }
 
-// outlived returns for how long a flow was silent that this target has ended as idle.
-func (p *packet) outlived() clock.Millis {
-	last, ok := p.shard.over.Get(p.caller)
+// takeExpiredIdle returns how long a flow that this target has expired has been
+// silent, or 0, and removes the entry.
+func (p *packet) takeExpiredIdle() clock.Millis {
+	last, ok := p.shard.expired.Get(p.caller)
 	if !ok {
 		return 0
 	}
-	p.shard.over.Remove(p.caller)
+	p.shard.expired.Remove(p.caller)
 	return p.now.Sub(last)
 }
 
-// visit notes this target in the envelope.
-func (p *packet) visit() {
+// markVisited adds this target to the visited ones of the envelope.
+func (p *packet) markVisited() {
 	if !slices.Contains(p.e.Visited, p.view.Self) {
 		p.e.Visited = append(p.e.Visited, p.view.Self)
 	}
 }
 
-// unvisited returns a target of the view that the datagram has not been to.
-func (p *packet) unvisited(id target.ID) (*target.Candidate, bool) {
+// findUnvisited finds a target in the view, unless the datagram has visited it.
+func (p *packet) findUnvisited(id target.ID) (*target.Candidate, bool) {
 	if id == p.view.Self || slices.Contains(p.e.Visited, id) {
 		return nil, false
 	}
 	return p.view.Set.Find(id)
 }
 
-// pass addresses the envelope to the next target, unless its hops are spent.
+// pass addresses the envelope to the next target, unless its hop limit is reached.
 func (p *packet) pass(c *target.Candidate) Decision {
 	if p.e.Budget <= 1 || len(p.e.Visited) > envelope.MaxVisited {
-		return Decision{Reason: NoBudget}
+		return Decision{Reason: HopLimitReached}
 	}
 	p.e.Budget--
 	p.e.Target = c.ID
@@ -232,15 +233,15 @@
 	return Decision{Action: Pass, To: c}
 }
 
-// adopt makes the flow this target's own.
+// adopt makes this target the owner of the flow.
 func (t *Table) adopt(p *packet, home target.ID) Decision {
 	f := &Flow{
-		Caller: p.caller, Opening: t.number.Add(1), Home: home,
+		Caller: p.caller, OpeningNumber: t.lastOpeningNumber.Add(1), Home: home,
 		Via: p.via, Started: p.now, LastIn: p.now, Trace: slices.Clone(p.e.Trace),
 	}
 	link, err := p.dialer.Dial(f, 0)
 	if err != nil {
-		// No socket was opened, so no upstream saw the datagram.
+		// No socket was opened, so the upstream has not seen the datagram.
 		return Decision{Action: Refuse, Reason: NoSocket}
 	}
 	f.Link = link
--- a/internal/connection/owner/identifiers.go
+++ b/internal/connection/owner/identifiers.go
@@ -6,62 +6,62 @@
 	"github.com/wagtailtray/wagtailtray/internal/request/quic"
 )
 
-// leastID is the shortest connection identifier that recognises a flow. A
-// shorter one would match strangers' datagrams too often.
-const leastID = 4
+// minIDLength is the length of the shortest connection ID that identifies a flow. A
+// shorter one would match unrelated datagrams too often.
+const minIDLength = 4
 
-// identifiers recognises a flow whose caller has a new address.
+// connectionIDs finds the flow of a caller that has a new address.
 //
-// An address translator may give the caller of a long flow a new port. The identifier
-// that the upstream chose, or that the caller used last on this flow, names it all the
-// same; the upstream validates the new path itself.
-type identifiers struct {
+// A NAT may assign a new port to the caller of a long flow. The connection ID that the
+// upstream chose, or that the caller used last on this flow, still identifies it; the
+// upstream validates the new path itself.
+type connectionIDs struct {
 	mu    sync.Mutex
 	flows map[string]*Flow
 }
 
-// answered learns the identifier that the upstream chose for the flow.
-func (x *identifiers) answered(f *Flow, datagram []byte) {
-	if f.chosen != "" {
+// learnChosen learns the connection ID that the upstream chose for the flow.
+func (x *connectionIDs) learnChosen(f *Flow, datagram []byte) {
+	if f.chosenID != "" {
 		return
 	}
 	id, ok := quic.SourceID(datagram)
-	if !ok || len(id) < leastID {
+	if !ok || len(id) < minIDLength {
 		return
 	}
-	f.chosen = string(id)
-	x.put(f, f.chosen)
+	f.chosenID = string(id)
+	x.put(f, f.chosenID)
 }
 
-// received learns the identifier that the caller uses on the flow.
-func (x *identifiers) received(f *Flow, datagram []byte) {
-	if f.chosen == "" || !f.Answered {
+// learnUsed learns the connection ID that the caller uses on the flow.
+func (x *connectionIDs) learnUsed(f *Flow, datagram []byte) {
+	if f.chosenID == "" || !f.Answered {
 		return
 	}
-	id, ok := quic.DestinationID(datagram, len(f.chosen))
-	if !ok || string(id) == f.used {
+	id, ok := quic.DestinationID(datagram, len(f.chosenID))
+	if !ok || string(id) == f.usedID {
 		return
 	}
-	old := f.used
-	f.used = string(id)
+	old := f.usedID
+	f.usedID = string(id)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if old != f.chosen && x.flows[old] == f {
+	if old != f.chosenID && x.flows[old] == f {
 		delete(x.flows, old)
 	}
-	x.flows[f.used] = f
+	x.flows[f.usedID] = f
 }
 
-func (x *identifiers) put(f *Flow, id string) {
+func (x *connectionIDs) put(f *Flow, id string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.flows[id] = f
 }
 
-func (x *identifiers) forget(f *Flow) {
+func (x *connectionIDs) remove(f *Flow) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, id := range []string{f.chosen, f.used} {
+	for _, id := range []string{f.chosenID, f.usedID} {
 		if x.flows[id] == f {
 			delete(x.flows, id)
 		}
@@ -69,10 +69,10 @@
 }
 
 // find returns the flow that a datagram from an unknown address belongs to.
-func (x *identifiers) find(datagram []byte) (*Flow, bool) {
+func (x *connectionIDs) find(datagram []byte) (*Flow, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for size := leastID; size <= maxKnownID; size++ {
+	for size := minIDLength; size <= maxIDLength; size++ {
 		id, ok := quic.DestinationID(datagram, size)
 		if !ok {
 			return nil, false
@@ -84,5 +84,5 @@
 	return nil, false
 }
 
-// maxKnownID is the longest connection identifier (RFC 9000, section 17.2).
-const maxKnownID = 20
+// maxIDLength is the length of the longest connection ID (RFC 9000, section 17.2).
+const maxIDLength = 20
--- a/internal/connection/owner/ledger.go
+++ b/internal/connection/owner/ledger.go
@@ -9,65 +9,65 @@
 
 // Entry is one flow in a ledger.
 type Entry struct {
-	Caller   netip.AddrPort `json:"caller"`
-	Port     uint16         `json:"port"`
-	Opening  uint64         `json:"opening"`
-	Home     target.ID      `json:"home"`
-	Answered bool           `json:"answered"`
-	// Via is the balancer to answer through until a datagram comes.
+	Caller        netip.AddrPort `json:"caller"`
+	Port          uint16         `json:"port"`
+	OpeningNumber uint64         `json:"opening"`
+	Home          target.ID      `json:"home"`
+	Answered      bool           `json:"answered"`
+	// Via is the balancer to answer through until the next datagram arrives.
 	Via netip.AddrPort `json:"via"`
 	// Idle is how long the flow had been silent, in milliseconds. It is a
-	// length of time, so it means the same on the successor's clock.
-	Idle   clock.Millis `json:"idle"`
-	Chosen []byte       `json:"chosen,omitempty"`
-	Used   []byte       `json:"used,omitempty"`
+	// duration, so it does not depend on the successor's clock.
+	Idle     clock.Millis `json:"idle"`
+	ChosenID []byte       `json:"chosen,omitempty"`
+	UsedID   []byte       `json:"used,omitempty"`
 }
 
-// Ledger is the flows of an agent that stops, for its successor.
+// Ledger hands the flows of a stopping agent over to its successor.
 //
 // The successor opens the same local ports, so the upstream sees the same
-// peers and nothing of the change. For example, the entry
+// peers and does not notice the change. For example, the entry
 // {caller: 10.0.0.9:4433, port: 40123} makes the successor send this caller's
 // datagrams from port 40123, as its predecessor did.
 type Ledger struct {
 	Target string `json:"target"`
-	// Incarnation is that of the agent which stopped. Only the next one
-	// takes the ledger up, once.
-	Incarnation uint32  `json:"incarnation"`
-	Number      uint64  `json:"number"`
-	Flows       []Entry `json:"flows"`
-	// Notes are what the agent remembered of flows that it placed on other
-	// targets a short while ago: their callers may send again.
-	Notes []Remembered `json:"notes"`
+	// Incarnation is that of the agent that stopped. Only the next
+	// incarnation imports the ledger, once.
+	Incarnation       uint32  `json:"incarnation"`
+	LastOpeningNumber uint64  `json:"number"`
+	Flows             []Entry `json:"flows"`
+	// Records are the agent's recent records of flows that other targets own
+	// or search for: their callers may resend the opening datagram.
+	Records []RecordEntry `json:"notes"`
 }
 
-// Remembered is one note in a ledger.
-type Remembered struct {
-	Caller netip.AddrPort `json:"caller"`
-	To     target.ID      `json:"to"`
-	Mark   bool           `json:"mark,omitempty"`
+// RecordEntry is one record in a ledger.
+type RecordEntry struct {
+	Caller    netip.AddrPort `json:"caller"`
+	To        target.ID      `json:"to"`
+	Searching bool           `json:"mark,omitempty"`
 	// Age is in milliseconds.
 	Age clock.Millis `json:"age"`
 }
 
-// NewLedger writes down what a stopping agent hands over. Notes older than the
+// NewLedger returns the ledger of a stopping agent. Records older than the resend
 // window are left out.
 func (t *Table) NewLedger(now clock.Millis, name string, v *View) *Ledger {
 	return &Ledger{
-		Target: name, Incarnation: v.Incarnation, Number: t.number.Load(),
-		Flows: t.exportFlows(now), Notes: t.exportNotes(now, v.Window),
+		Target: name, Incarnation: v.Incarnation, LastOpeningNumber: t.lastOpeningNumber.Load(),
+		Flows: t.exportFlows(now), Records: t.exportRecords(now, v.ResendWindow),
 	}
 }
 
-func (t *Table) exportNotes(now, window clock.Millis) []Remembered {
-	var all []Remembered
+func (t *Table) exportRecords(now, window clock.Millis) []RecordEntry {
+	var all []RecordEntry
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
-		for _, caller := range s.memory.Keys() {
-			n, _ := s.memory.Peek(caller)
-			if age := now.Sub(n.at); age <= window && !n.refused {
-				all = append(all, Remembered{Caller: caller, To: n.to, Mark: n.mark, Age: age})
+		for _, caller := range s.records.Keys() {
+			r, _ := s.records.Peek(caller)
+			if age := now.Sub(r.recordedAt); age <= window && !r.refused {
+				all = append(all, RecordEntry{Caller: caller, To: r.to, Searching: r.searching, Age: age})
 			}
 		}
 		s.mu.Unlock()
@@ -75,18 +75,18 @@
 	return all
 }
 
-func (t *Table) importNotes(now clock.Millis, notes []Remembered) {
-	for _, r := range notes {
+func (t *Table) importRecords(now clock.Millis, records []RecordEntry) {
+	for _, r := range records {
 		s := t.shard(r.Caller)
 		s.mu.Lock()
 		if _, own := s.flows[r.Caller]; !own {
-			s.memory.Add(r.Caller, note{to: r.To, at: now.Sub(r.Age), mark: r.Mark})
+			s.records.Add(r.Caller, record{to: r.To, recordedAt: now.Sub(r.Age), searching: r.Searching})
 		}
 		s.mu.Unlock()
 	}
 }
 
-// exportFlows lists the flows. The agent has stopped taking envelopes before.
+// exportFlows lists the flows. The agent no longer accepts envelopes at this point.
 func (t *Table) exportFlows(now clock.Millis) []Entry {
 	var entries []Entry
 	for i := range t.shards {
@@ -102,28 +102,28 @@
 
 func export(now clock.Millis, f *Flow) Entry {
 	return Entry{
-		Caller: f.Caller, Port: f.Link.Port(), Opening: f.Opening, Home: f.Home,
+		Caller: f.Caller, Port: f.Link.Port(), OpeningNumber: f.OpeningNumber, Home: f.Home,
 		Answered: f.Answered, Via: f.Via, Idle: now.Sub(max(f.LastIn, f.LastOut)),
-		Chosen: []byte(f.chosen), Used: []byte(f.used),
+		ChosenID: []byte(f.chosenID), UsedID: []byte(f.usedID),
 	}
 }
 
-// Import opens the flows of a ledger. It returns the callers whose port could
-// not be had again; their flows are lost, and the others go on.
+// Import opens the flows of a ledger. It returns the callers whose local port could
+// not be bound again; their flows are lost, and the others continue.
 func (t *Table) Import(now clock.Millis, l *Ledger, dialer Dialer) []netip.AddrPort {
 	var lost []netip.AddrPort
-	t.number.Store(max(t.number.Load(), l.Number))
+	t.lastOpeningNumber.Store(max(t.lastOpeningNumber.Load(), l.LastOpeningNumber))
 	for _, entry := range l.Flows {
 		if !t.restore(now, entry, dialer) {
 			lost = append(lost, entry.Caller)
 		}
 	}
-	t.importNotes(now, l.Notes)
+	t.importRecords(now, l.Records)
 	return lost
 }
 
-// restore opens one flow again. A flow that is there already is left as it
-// is: a ledger may arrive twice, from the platform and from a peer.
+// restore opens one flow again. A flow that is already open is left unchanged: a
+// ledger may arrive twice, from the platform and from a peer.
 func (t *Table) restore(now clock.Millis, entry Entry, dialer Dialer) bool {
 	s := t.shard(entry.Caller)
 	s.mu.Lock()
@@ -133,9 +133,9 @@
 	}
 	seen := now.Sub(entry.Idle)
 	f := &Flow{
-		Caller: entry.Caller, Opening: entry.Opening, Home: entry.Home, Answered: entry.Answered,
+		Caller: entry.Caller, OpeningNumber: entry.OpeningNumber, Home: entry.Home, Answered: entry.Answered,
 		Via: entry.Via, Started: seen, LastIn: seen, LastOut: seen,
-		chosen: string(entry.Chosen), used: string(entry.Used),
+		chosenID: string(entry.ChosenID), usedID: string(entry.UsedID),
 	}
 	link, err := dialer.Dial(f, entry.Port)
 	if err != nil {
@@ -143,20 +143,20 @@
 	}
 	f.Link = link
 	t.add(s, f)
-	t.ids.restore(f)
+	t.connectionIDs.restore(f)
 	return true
 }
 
-// restore puts a flow's identifiers back.
-func (x *identifiers) restore(f *Flow) {
-	for _, id := range []string{f.chosen, f.used} {
+// restore adds a flow's connection IDs again.
+func (x *connectionIDs) restore(f *Flow) {
+	for _, id := range []string{f.chosenID, f.usedID} {
 		if id != "" {
 			x.put(f, id)
 		}
 	}
 }
 
-// LastNumber returns the highest opening number that was given.
-func (t *Table) LastNumber() uint64 {
-	return t.number.Load()
+// LastOpeningNumber returns the highest opening number that was assigned.
+func (t *Table) LastOpeningNumber() uint64 {
+	return t.lastOpeningNumber.Load()
 }
--- a/internal/connection/owner/loads.go
+++ b/internal/connection/owner/loads.go
@@ -9,16 +9,16 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// warm is the warmth of a target that takes its full share.
-const warm = 1000
+// fullWarmth is the warmth of a target that takes its full share, in thousandths.
+const fullWarmth = 1000
 
-// Own is what an agent knows of its own target at this moment.
-type Own struct {
+// LocalState is the present state of the agent's own target.
+type LocalState struct {
 	// Flows is the number of open flows.
 	Flows int
 	// Accepting is false while the target drains, sheds or is not up.
 	Accepting bool
-	// Slots is the target's capacity; 0 means that it reports none.
+	// Slots is the target's capacity, or 0 if the target does not report it.
 	Slots uint32
 	// Busy is the number of slots in use.
 	Busy uint32
@@ -26,28 +26,28 @@
 	Warmth uint32
 }
 
-// Loads is what an agent knows of the load of its peers: their last digests
-// and the flows it placed on each since.
+// PeerLoads is what an agent knows of the load of its peers: their last digests
+// and the flows it has placed on each since.
 //
-// The count that a home adds for its own placements is what keeps a burst from
-// herding onto the one target that looked idle: between two digests every
-// other home places there too, so each placement counts once for every home.
-type Loads struct {
-	mu    sync.Mutex
-	bound clock.Millis
-	peers map[target.ID]*load
+// A home counts its own placements so that a burst does not herd onto the one
+// target that looked idle. Between two digests every other home places flows
+// there too, so each placement counts once for every home.
+type PeerLoads struct {
+	mu     sync.Mutex
+	maxAge clock.Millis
+	peers  map[target.ID]*load
 }
 
 type load struct {
 	incarnation uint32
-	digest      wireDigest
-	at          clock.Millis
-	placed      uint32
+	digest      loadDigest
+	receivedAt  clock.Millis
+	placedSince uint32
 }
 
-// wireDigest holds the fields of a wire.Digest that decisions use, so that
-// messages can be reused.
-type wireDigest struct {
+// loadDigest holds the fields of a wire.Digest that decisions use, so that the
+// message can be reused.
+type loadDigest struct {
 	sequence  uint64
 	flows     uint32
 	slots     uint32
@@ -55,21 +55,21 @@
 	accepting bool
 }
 
-// NewLoads returns an empty state. A digest older than bound counts as
-// unknown: its target is left out as long as any other is known.
-func NewLoads(bound clock.Millis) *Loads {
-	return &Loads{bound: bound, peers: map[target.ID]*load{}}
+// NewPeerLoads returns an empty state. A target whose digest is older than maxAge
+// is of unknown load: it is chosen only if no other target can be.
+func NewPeerLoads(maxAge clock.Millis) *PeerLoads {
+	return &PeerLoads{maxAge: maxAge, peers: map[target.ID]*load{}}
 }
 
-// SetBound brings a later bound into force.
-func (l *Loads) SetBound(bound clock.Millis) {
+// SetMaxAge replaces the maximum age of digests.
+func (l *PeerLoads) SetMaxAge(maxAge clock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.bound = bound
+	l.maxAge = maxAge
 }
 
-// Note takes a peer's digest, unless it is late.
-func (l *Loads) Note(now clock.Millis, from target.ID, incarnation uint32, d *wire.Digest) bool {
+// Update stores a peer's digest, and reports false if it is out of date.
+func (l *PeerLoads) Update(now clock.Millis, from target.ID, incarnation uint32, d *wire.Digest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.peers[from]
@@ -81,17 +81,17 @@
 		return false
 	}
 	p.incarnation = incarnation
-	p.at = now
-	p.placed = 0
-	p.digest = wireDigest{
+	p.receivedAt = now
+	p.placedSince = 0
+	p.digest = loadDigest{
 		sequence: d.Sequence, flows: d.Flows, slots: d.Slots, warmth: d.Warmth, accepting: d.Accepting,
 	}
 	return true
 }
 
-// Keep forgets the peers that are not in the set, so that the table stays as
-// small as the service.
-func (l *Loads) Keep(set *target.Set) {
+// Retain removes the peers that are not in the set, so that the table does not
+// outgrow the service.
+func (l *PeerLoads) Retain(set *target.Set) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range l.peers {
@@ -101,86 +101,86 @@
 	}
 }
 
-// choice is the best target so far.
-type choice struct {
+// bestChoice is the best target so far.
+type bestChoice struct {
 	candidate *target.Candidate
 	cost      float64
 	rank      uint64
 }
 
-func (c *choice) offer(t *target.Candidate, cost float64, rank uint64) {
+func (c *bestChoice) consider(t *target.Candidate, cost float64, rank uint64) {
 	if c.candidate == nil || cost < c.cost || cost == c.cost && rank > c.rank {
-		*c = choice{candidate: t, cost: cost, rank: rank}
+		*c = bestChoice{candidate: t, cost: cost, rank: rank}
 	}
 }
 
-// Choose returns the target for a new flow: the one with the fewest flows a
-// slot. Cold targets get no more than their warmth's part of an even share,
-// unless all are cold. Targets of unknown load come last.
-func (l *Loads) Choose(now clock.Millis, v *View, own Own, skip []target.ID, random float64) (*target.Candidate, bool) {
+// Choose returns the target for a new flow: the one with the fewest flows per
+// slot. Cold targets get at most an even share scaled by their warmth, unless all
+// are cold. Targets of unknown load come last.
+func (l *PeerLoads) Choose(now clock.Millis, v *View, own LocalState, skip []target.ID, random float64) (*target.Candidate, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var best, cold, unknown choice
-	homes := v.homes()
+	var best, cold, unknown bestChoice
+	homes := v.homeCount()
 	for i := range v.Set.Targets {
 		c := &v.Set.Targets[i]
 		if !c.Opens() || slices.Contains(skip, c.ID) {
 			continue
 		}
-		rank := mix(random, c.ID)
-		state, ok := l.state(now, c, v, own, homes)
+		rank := tieBreakRank(random, c.ID)
+		state, ok := l.candidateState(now, c, v, own, homes)
 		if !ok {
-			unknown.offer(c, 0, rank)
+			unknown.consider(c, 0, rank)
 			continue
 		}
 		if !state.accepting {
 			continue
 		}
-		if state.warmth < warm && random*float64(homes*warm) >= float64(state.warmth) {
-			cold.offer(c, state.cost, rank)
+		if state.warmth < fullWarmth && random*float64(homes*fullWarmth) >= float64(state.warmth) {
+			cold.consider(c, state.cost, rank)
 			continue
 		}
-		best.offer(c, state.cost, rank)
+		best.consider(c, state.cost, rank)
 	}
-	for _, b := range []choice{best, cold, unknown} {
+	for _, b := range []bestChoice{best, cold, unknown} {
 		if b.candidate != nil {
-			l.count(b.candidate, v.Self)
+			l.countPlacement(b.candidate, v.Self)
 			return b.candidate, true
 		}
 	}
 	return nil, false
 }
 
-type state struct {
+type candidateState struct {
 	cost      float64
 	warmth    uint32
 	accepting bool
 }
 
-func (l *Loads) state(now clock.Millis, c *target.Candidate, v *View, own Own, homes int) (state, bool) {
+func (l *PeerLoads) candidateState(now clock.Millis, c *target.Candidate, v *View, own LocalState, homes int) (candidateState, bool) {
 	if c.ID == v.Self {
-		return state{cost: cost(float64(own.Flows), own.Slots), warmth: own.Warmth, accepting: own.Accepting}, true
+		return candidateState{cost: cost(float64(own.Flows), own.Slots), warmth: own.Warmth, accepting: own.Accepting}, true
 	}
 	p, ok := l.peers[c.ID]
-	if !ok || p.incarnation != c.Incarnation || now.Sub(p.at) > l.bound {
-		return state{}, false
+	if !ok || p.incarnation != c.Incarnation || now.Sub(p.receivedAt) > l.maxAge {
+		return candidateState{}, false
 	}
-	flows := float64(p.digest.flows) + float64(p.placed)*float64(homes)
-	return state{cost: cost(flows, p.digest.slots), warmth: p.digest.warmth, accepting: p.digest.accepting}, true
+	flows := float64(p.digest.flows) + float64(p.placedSince)*float64(homes)
+	return candidateState{cost: cost(flows, p.digest.slots), warmth: p.digest.warmth, accepting: p.digest.accepting}, true
 }
 
 func cost(flows float64, slots uint32) float64 {
 	return flows / float64(max(slots, 1))
 }
 
-func (l *Loads) count(c *target.Candidate, self target.ID) {
+func (l *PeerLoads) countPlacement(c *target.Candidate, self target.ID) {
 	if p, ok := l.peers[c.ID]; ok && c.ID != self {
-		p.placed++
+		p.placedSince++
 	}
 }
 
-// homes is the number of targets that place flows.
-func (v *View) homes() int {
+// homeCount returns the number of targets that place flows.
+func (v *View) homeCount() int {
 	n := 0
 	for i := range v.Set.Targets {
 		if v.Set.Targets[i].Opens() {
@@ -190,7 +190,7 @@
 	return max(n, 1)
 }
 
-// mix orders targets of equal load differently for each flow.
-func mix(random float64, id target.ID) uint64 {
+// tieBreakRank orders targets of equal load differently for each flow.
+func tieBreakRank(random float64, id target.ID) uint64 {
 	return (uint64(random*(1<<53)) ^ uint64(id)) * 0x9e3779b97f4a7c15
 }
--- a/internal/connection/owner/observer.go
+++ b/internal/connection/owner/observer.go
@@ -5,65 +5,65 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Observer dates what changes among the targets of a service, from one view
-// to the next. It belongs to one process and is not safe for concurrent use.
+// Observer records when the targets of a service change, from one view to the
+// next. It is not safe for concurrent use.
 type Observer struct {
-	self    target.ID
-	known   map[target.ID]seen
-	removed clock.Millis
-	joined  clock.Millis
+	self        target.ID
+	known       map[target.ID]observedTarget
+	lastRemoved clock.Millis
+	joinedAt    clock.Millis
 }
 
-// seen is what matters of a target for the choice of homes.
-type seen struct {
+// observedTarget is the state of a target that affects the choice of homes.
+type observedTarget struct {
 	incarnation uint32
 	sequence    uint64
 	opens       bool
-	at          clock.Millis
+	changedAt   clock.Millis
 }
 
-// differs reports a change since the target was seen. A higher sequence counts
-// even where nothing else is different: the target may have been a home for a
-// moment, in the eyes of others, between two looks of this process.
-func (s *seen) differs(c *target.Candidate) bool {
+// differs reports whether the target has changed since it was observed. A higher
+// sequence counts even if nothing else differs: others may have seen the target as
+// a home for a moment, between two observations of this process.
+func (s *observedTarget) differs(c *target.Candidate) bool {
 	return s.incarnation != c.Incarnation || s.sequence != c.Sequence || s.opens != c.Opens()
 }
 
-// longAgo dates what was there before the observer. The clock of a process
-// starts a day after it, longer than any window.
-const longAgo = -24 * clock.Hour
+// beforeStart is when targets that were there before the observer count as changed.
+// The clock of a process starts a day later, longer than any resend window.
+const beforeStart = -24 * clock.Hour
 
-// NewObserver returns the observer of a target's agent.
+// NewObserver returns the observer of the agent of target self.
 func NewObserver(self target.ID) *Observer {
-	return &Observer{self: self, known: map[target.ID]seen{}, removed: longAgo}
+	return &Observer{self: self, known: map[target.ID]observedTarget{}, lastRemoved: beforeStart}
 }
 
-// View returns the view of a set. What the first view shows counts as changed
-// only for the target itself: it is the one that joins.
+// View returns the view of a set. In the first view only the target itself counts
+// as changed, because it is the one that joins.
 func (o *Observer) View(now clock.Millis, set *target.Set, incarnation uint32, window clock.Millis) *View {
-	v := &View{Set: set, Joined: o.joined, Self: o.self, Incarnation: incarnation, Window: window}
+	v := &View{Set: set, JoinedAt: o.joinedAt, Self: o.self, Incarnation: incarnation, ResendWindow: window}
 	first := len(o.known) == 0
 	if first {
-		v.Joined, o.joined = now, now
+		v.JoinedAt, o.joinedAt = now, now
 	}
 	for i := range set.Targets {
 		c := &set.Targets[i]
 		old, ok := o.known[c.ID]
 		if !ok || old.differs(c) {
-			old = seen{incarnation: c.Incarnation, sequence: c.Sequence, opens: c.Opens(), at: now}
+			old = observedTarget{incarnation: c.Incarnation, sequence: c.Sequence, opens: c.Opens(), changedAt: now}
 			if first && c.ID != o.self {
-				old.at = longAgo
+				old.changedAt = beforeStart
 			}
 			o.known[c.ID] = old
 		}
-		v.Changed = append(v.Changed, old.at)
+		v.ChangedAt = append(v.ChangedAt, old.changedAt)
 	}
 	for id := range o.known {
 		if _, ok := set.Find(id); !ok {
 			delete(o.known, id)
-			o.removed = now
+			o.lastRemoved = now
 		}
 	}
-	v.Removed = o.removed
+	v.LastRemoved = o.lastRemoved
 	return v
 }
--- a/internal/connection/owner/opening.go
+++ b/internal/connection/owner/opening.go
@@ -9,77 +9,77 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// open brings an opening datagram to the flow's home, or decides as the home.
-func (t *Table) open(p *packet) Decision {
-	if d, ok := t.follow(p); ok {
+// handleOpen passes an opening datagram to the flow's home, or decides as the home.
+func (t *Table) handleOpen(p *packet) Decision {
+	if d, ok := t.followRecord(p); ok {
 		return d
 	}
-	if p.claimed(p.view.Window) || p.remembered() {
-		// This target's search is under way, or it placed the flow on a
-		// target that it cannot follow to. Whoever is the home in today's
-		// view knows less: passed on, the copy would be decided about twice.
-		return t.claim(p)
+	if p.isSearching(p.view.ResendWindow) || p.hasRecord() {
+		// This target is searching, or it placed the flow on a target that
+		// the copy cannot be sent to. The home in the present view knows
+		// less: if the copy were passed on, two targets would decide.
+		return t.startSearch(p)
 	}
 	home, ok := p.view.Set.Home(p.e.Caller)
 	if ok && p.view.formerHome(p.now, p.e.Caller, home.ID) {
-		return t.claim(p)
+		return t.startSearch(p)
 	}
 	if ok && home.ID != p.view.Self && !slices.Contains(p.e.Visited, home.ID) {
-		p.visit()
+		p.markVisited()
 		return p.pass(home)
 	}
-	if p.view.Unsettled(p.now, p.e.Caller) {
-		return t.claim(p)
+	if p.view.HomeMayHaveChanged(p.now, p.e.Caller) {
+		return t.startSearch(p)
 	}
 	return t.place(p)
 }
 
-// follow sends a resent opening datagram after the first copy, as long as the
-// note of it is young.
+// followRecord sends a resent opening datagram to where the first copy went, as
+// long as the record of that is within the resend window.
 //
-// An old note proves nothing: the flow may have ended and a new one of the
-// same addresses been placed elsewhere by another home. It only makes the home
+// An older record proves nothing: the flow may have ended and another home may
+// have placed a new one of the same addresses elsewhere. It only makes the home
 // search before it decides.
-func (t *Table) follow(p *packet) (Decision, bool) {
-	n, ok := p.shard.memory.Get(p.caller)
-	if !ok || p.now.Sub(n.at) > p.view.Window {
+func (t *Table) followRecord(p *packet) (Decision, bool) {
+	r, ok := p.shard.records.Get(p.caller)
+	if !ok || p.now.Sub(r.recordedAt) > p.view.ResendWindow {
 		return Decision{}, false
 	}
-	if n.refused {
-		return Decision{Action: Refuse, Reason: NoTarget}, p.now.Sub(n.at) <= together
+	if r.refused {
+		return Decision{Action: Refuse, Reason: NoTarget}, p.now.Sub(r.recordedAt) <= maxCopySkew
 	}
-	if p.strange(n) {
-		return Decision{Reason: Contested}, true
+	if p.searcherUnavailable(r) {
+		return Decision{Reason: ConcurrentSearch}, true
 	}
-	if n.mark {
-		return p.yield(n)
+	if r.searching {
+		return p.forwardToSearcher(r)
 	}
-	c, ok := p.view.Set.Find(n.to)
-	if !ok || c.Suspected || p.declinedBy(n.to) {
-		// A dead target would swallow every copy. The home searches
-		// instead and, if nobody answers, chooses again.
+	c, ok := p.view.Set.Find(r.to)
+	if !ok || c.Suspected || p.declinedBy(r.to) {
+		// Every copy would be lost at a dead target. The home searches
+		// instead and, if no target answers, chooses again.
 		return Decision{}, false
 	}
 	if p.e.Stage != wire.Stage_STAGE_DECLINED {
-		// What a search has visited has declined nothing.
+		// Targets that a search has visited have not declined the flow.
 		p.e.Visited = p.e.Visited[:0]
 	}
-	p.visit()
+	p.markVisited()
 	p.e.Stage = wire.Stage_STAGE_PLACED
 	p.e.Home = p.view.Self
 	return p.pass(c), true
 }
 
-// yield leaves the decision to the home that a mark names.
+// forwardToSearcher leaves the decision to the home that a search record names.
 //
-// A mark names the home that decides, not the target that it chose: sent there
-// as placed, the copy would be adopted by the home itself beside the target
-// that has adopted the first one. The copy may have come through that home
-// already, before it began to search, so it goes there all the same; this
-// target stays in the list of visited ones, so it does not come back here.
-func (p *packet) yield(n note) (Decision, bool) {
-	c, ok := p.view.Set.Find(n.to)
-	if !ok || c.Suspected || n.to == p.view.Self {
+// A search record names the home that decides, not the target that it chose: if
+// the copy were sent there as placed, the home would adopt it in addition to the
+// target that has adopted the first one. The copy goes to that home even if it has
+// passed it before, because the home may have started its search after that. This
+// target stays among the visited ones, so the copy does not come back here.
+func (p *packet) forwardToSearcher(r record) (Decision, bool) {
+	c, ok := p.view.Set.Find(r.to)
+	if !ok || c.Suspected || r.to == p.view.Self {
 		return Decision{}, false
 	}
 	p.e.Visited = append(p.e.Visited[:0], p.view.Self)
@@ -87,32 +87,33 @@
 	return p.pass(c), true
 }
 
-// NewsLag bounds how long a target may not know of another one.
+// MaxPropagationDelay bounds how long a target may not know of another one.
 //
-// Two that do not know each other would each be the home of a flow and open it. So a
-// target that starts without a predecessor's flows opens none for this long: it is
-// walked and asked like a draining one, and all hear of it.
-const NewsLag = 3 * clock.Second
+// Two targets that do not know each other would both be the home of a flow and open
+// it. So a target that starts without a predecessor's flows opens none for this long:
+// like a draining one it still gets owned datagrams and searches, and all targets
+// learn of it.
+const MaxPropagationDelay = 3 * clock.Second
 
-// strange reports a young mark of a home that this target has not heard of yet,
-// or suspects.
+// searcherUnavailable reports whether r is a recent search record of a home that
+// this target does not know yet, or suspects.
 //
-// That home may have decided about the first copy, so this one is dropped; by the
-// caller's next one the news is here.
-func (p *packet) strange(n note) bool {
-	c, known := p.view.Set.Find(n.to)
-	return n.mark && (!known || c.Suspected) && p.now.Sub(n.at) <= NewsLag
+// That home may have decided about the first copy, so this one is dropped; when
+// the caller resends, this target will have learned of the home.
+func (p *packet) searcherUnavailable(r record) bool {
+	c, known := p.view.Set.Find(r.to)
+	return r.searching && (!known || c.Suspected) && p.now.Sub(r.recordedAt) <= MaxPropagationDelay
 }
 
-// remembered reports an old note of the flow. A placement that was declined
-// is no such note: its target is among the visited ones.
-func (p *packet) remembered() bool {
-	n, ok := p.shard.memory.Peek(p.caller)
-	return ok && n.to != p.view.Self && !p.declinedBy(n.to)
+// hasRecord reports whether there is a record of the flow that names another
+// target. A placement that this datagram was declined for does not count.
+func (p *packet) hasRecord() bool {
+	r, ok := p.shard.records.Peek(p.caller)
+	return ok && r.to != p.view.Self && !p.declinedBy(r.to)
 }
 
-// declinedBy reports that the datagram comes back from a target that did not
-// take it. In the other stages the visited targets only passed it on.
+// declinedBy reports whether the target has declined the datagram. In the other
+// stages the visited targets have only passed it on.
 func (p *packet) declinedBy(id target.ID) bool {
 	return p.e.Stage == wire.Stage_STAGE_DECLINED && slices.Contains(p.e.Visited, id)
 }
--- a/internal/connection/owner/search.go
+++ b/internal/connection/owner/search.go
@@ -6,42 +6,43 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// claim is a search that a home has started.
-type claim struct {
-	first clock.Millis
-	last  clock.Millis
+// search is a search for an earlier owner that this target has started.
+type search struct {
+	started clock.Millis
+	// lastCopy is when the last copy of the opening datagram arrived here.
+	lastCopy clock.Millis
 }
 
 const (
-	// chance is how long a suspected target has to answer a search before
-	// the next one leaves it out. It is several round trips, and shorter
-	// than a caller's pause between two copies.
-	chance = 500 * clock.Millis(1)
-	// inFlight is how long a search may be under way. An older claim gives
-	// way to another home's: its datagram is lost, and holding on to it
-	// would turn the other's copies away for nothing.
-	inFlight = 500 * clock.Millis(1)
+	// suspectedTimeout is how long a suspected target has to answer a search
+	// before later searches skip it. It is several round trips, and shorter
+	// than a caller's resend interval.
+	suspectedTimeout = 500 * clock.Millis(1)
+	// searchTimeout is how long a search may take. An older search yields to
+	// that of another home: its datagram is lost, and keeping it would drop
+	// the other home's copies needlessly.
+	searchTimeout = 500 * clock.Millis(1)
 )
 
-// claim starts a search for an earlier owner. The claim ends with the resend
-// window, so a search whose answer is lost holds nothing up for long.
+// startSearch starts a search for an earlier owner. The search expires with the
+// resend window, so one whose answer is lost does not delay the flow for long.
 //
-// The search asks suspected targets last, and a dead one swallows it. When the
-// caller sends again, a live one would have answered the first copy; the second
-// search leaves the suspected ones out, so new flows whose home has died wait
-// for one pause of their caller and no longer.
-func (t *Table) claim(p *packet) Decision {
-	c, ok := p.shard.claims.Get(p.caller)
-	if !ok || p.now.Sub(c.last) > p.view.Window {
-		c = claim{first: p.now}
+// The search asks suspected targets last, and is lost at a dead one. By the time
+// the caller resends, a live target would have answered the first copy; the second
+// search skips the suspected targets, so a new flow whose home has died waits for
+// at most one resend interval of its caller.
+func (t *Table) startSearch(p *packet) Decision {
+	s, ok := p.shard.searches.Get(p.caller)
+	if !ok || p.now.Sub(s.lastCopy) > p.view.ResendWindow {
+		s = search{started: p.now}
 	}
-	c.last = p.now
-	p.shard.claims.Add(p.caller, c)
+	s.lastCopy = p.now
+	p.shard.searches.Add(p.caller, s)
 	p.e.Home = p.view.Self
 	p.e.Visited = append(p.e.Visited[:0], p.view.Self)
-	next, ok := p.firstAsked(p.now.Sub(c.first) <= chance)
+	next, ok := p.firstSearched(p.now.Sub(s.started) <= suspectedTimeout)
 	if !ok {
-		p.shard.claims.Remove(p.caller)
+		p.shard.searches.Remove(p.caller)
 		p.e.Visited = p.e.Visited[:0]
 		return t.place(p)
 	}
@@ -49,82 +50,83 @@
 	return p.pass(next)
 }
 
-// firstAsked returns where a search begins: at the target that this home placed
-// the flow on, be it suspected or not, as long as that one has its chance.
-func (p *packet) firstAsked(all bool) (*target.Candidate, bool) {
-	if !all {
-		p.e.Visited = p.view.suspected(p.e.Visited)
+// firstSearched returns the first target of a search: the one that this home
+// placed the flow on, suspected or not, if any. Unless includeSuspected is set,
+// suspected targets count as visited.
+func (p *packet) firstSearched(includeSuspected bool) (*target.Candidate, bool) {
+	if !includeSuspected {
+		p.e.Visited = p.view.appendSuspected(p.e.Visited)
 	}
-	if n, ok := p.shard.memory.Peek(p.caller); ok {
-		if c, ok := p.unvisited(n.to); ok {
+	if r, ok := p.shard.records.Peek(p.caller); ok {
+		if c, ok := p.findUnvisited(r.to); ok {
 			return c, true
 		}
 	}
-	return p.view.Asked(p.now, p.e.Caller, p.e.Visited, p.view.Self)
+	return p.view.NextSearched(p.now, p.e.Caller, p.e.Visited, p.view.Self)
 }
 
-// claimed reports a claim of this target that is not older than an age.
-func (p *packet) claimed(age clock.Millis) bool {
-	c, ok := p.shard.claims.Get(p.caller)
-	return ok && p.now.Sub(c.last) <= age
+// isSearching reports whether this target has searched for the flow within maxAge.
+func (p *packet) isSearching(maxAge clock.Millis) bool {
+	s, ok := p.shard.searches.Get(p.caller)
+	return ok && p.now.Sub(s.lastCopy) <= maxAge
 }
 
-// search answers another home's search: this target does not own the flow,
-// but it may have placed it, or claim it itself.
-func (t *Table) search(p *packet) Decision {
-	claimant := p.e.Home
-	if p.claimed(inFlight) && target.Score(p.e.Caller, p.view.Self) > target.Score(p.e.Caller, claimant) {
-		// Two homes search for one flow. The scores tell both which of
-		// them goes on, whatever their views; this copy is not needed.
-		return Decision{Reason: Contested}
+// handleSearch handles another home's search: this target does not own the flow,
+// but may have placed it, or may be searching for its owner too.
+func (t *Table) handleSearch(p *packet) Decision {
+	searcher := p.e.Home
+	if p.isSearching(searchTimeout) && target.Score(p.e.Caller, p.view.Self) > target.Score(p.e.Caller, searcher) {
+		// Two homes search for one flow. The scores decide which of them
+		// continues, whatever their views, so this copy is dropped.
+		return Decision{Reason: ConcurrentSearch}
 	}
-	p.shard.claims.Remove(p.caller)
-	old, noted := p.shard.memory.Get(p.caller)
-	p.mark(old, noted)
-	p.visit()
-	if noted {
-		if c, ok := p.unvisited(old.to); ok && c.ID != claimant {
+	p.shard.searches.Remove(p.caller)
+	old, recorded := p.shard.records.Get(p.caller)
+	p.recordSearch(old, recorded)
+	p.markVisited()
+	if recorded {
+		if c, ok := p.findUnvisited(old.to); ok && c.ID != searcher {
 			return p.pass(c)
 		}
 	}
-	if c, ok := p.view.Asked(p.now, p.e.Caller, p.e.Visited, claimant); ok {
+	if c, ok := p.view.NextSearched(p.now, p.e.Caller, p.e.Visited, searcher); ok {
 		return p.pass(c)
 	}
-	c, ok := p.view.Set.Find(claimant)
+	c, ok := p.view.Set.Find(searcher)
 	if !ok {
-		return Decision{Reason: Late}
+		return Decision{Reason: StaleSearch}
 	}
 	p.e.Stage = wire.Stage_STAGE_SEARCHED
 	return p.pass(c)
 }
 
-// mark notes which home searches for the flow.
+// recordSearch records which home searches for the flow.
 //
-// It replaces the note of a placement: the datagram that was to be placed may
-// be lost, and then the searching home decides; if it was not lost, every
-// search finds the flow where it was placed. Of two searching homes the mark
-// names the one that goes on.
-func (p *packet) mark(old note, noted bool) {
-	claimant := p.e.Home
-	fresh := noted && old.mark && p.now.Sub(old.at) <= p.view.Window
-	if fresh && target.Score(p.e.Caller, old.to) > target.Score(p.e.Caller, claimant) {
+// It replaces the record of a placement: the placed datagram may be lost, and
+// then the searching home decides; if it was not lost, every search finds the
+// flow where it was placed. If two homes search, the record names the one that
+// continues.
+func (p *packet) recordSearch(old record, recorded bool) {
+	searcher := p.e.Home
+	fresh := recorded && old.searching && p.now.Sub(old.recordedAt) <= p.view.ResendWindow
+	if fresh && target.Score(p.e.Caller, old.to) > target.Score(p.e.Caller, searcher) {
 		return
 	}
-	p.shard.memory.Add(p.caller, note{to: claimant, at: p.now, mark: true})
+	p.shard.records.Add(p.caller, record{to: searcher, recordedAt: p.now, searching: true})
 }
 
-// searched is the end of this home's own search: no target owned the flow.
-func (t *Table) searched(p *packet) Decision {
-	if d, ok := t.follow(p); ok {
-		// This home gave way to another one meanwhile.
+// handleSearched handles the end of this home's own search: no target owns the flow.
+func (t *Table) handleSearched(p *packet) Decision {
+	if d, ok := t.followRecord(p); ok {
+		// This home has yielded to another one in the meantime.
 		return d
 	}
-	if p.e.Home != p.view.Self || !p.claimed(p.view.Window) {
-		// The datagram was under way for longer than the claim holds.
-		// The caller sends another, which starts anew.
-		return Decision{Reason: Late}
+	if p.e.Home != p.view.Self || !p.isSearching(p.view.ResendWindow) {
+		// The datagram took longer than the search is valid. The
+		// caller resends it, which starts a new search.
+		return Decision{Reason: StaleSearch}
 	}
-	p.shard.claims.Remove(p.caller)
+	p.shard.searches.Remove(p.caller)
 	p.e.Visited = p.e.Visited[:0]
 	return t.place(p)
 }
--- a/internal/connection/owner/table.go
+++ b/internal/connection/owner/table.go
@@ -16,133 +16,137 @@
 // shardCount spreads the table's locks over the workers.
 const shardCount = 32
 
-// Link is the local socket of one flow towards its upstream.
+// Link is the local socket of one flow to its upstream.
 type Link interface {
 	Send(datagram []byte) error
 	Port() uint16
 	Close()
 }
 
-// Dialer opens the link of a flow. Port 0 takes any free one.
+// Dialer opens the link of a flow. Port 0 selects any free port.
 type Dialer interface {
 	Dial(f *Flow, port uint16) (Link, error)
 }
 
-// Flow is one flow that this target owns. The fields below Link change under
+// Flow is one flow that this target owns. The fields after Link are guarded by
 // the lock of the flow's shard.
 type Flow struct {
 	Caller netip.AddrPort
-	// Opening numbers the flows of this incarnation. A late answer carries
-	// the number of its flow and never reaches a later flow of the same
-	// addresses.
-	Opening uint64
+	// OpeningNumber numbers the flows of this incarnation. A late answer
+	// carries the number of its flow, so it never reaches a later flow of the
+	// same addresses.
+	OpeningNumber uint64
 	// Home is the target that placed the flow here.
 	Home target.ID
 	Link Link
 
-	// Via is the balancer's socket that the last datagram came from.
+	// Via is the balancer's address that the last datagram came from.
 	Via      netip.AddrPort
 	Started  clock.Millis
 	LastIn   clock.Millis
 	LastOut  clock.Millis
 	Answered bool
 
-	// Trace is the context of a traced datagram whose answer is not back
-	// yet, so that the answer's hops belong to its trace.
+	// Trace is the trace context of a datagram that has not been answered
+	// yet, so that the answer's hops are added to its trace.
 	Trace []byte
 
-	chosen string
-	used   string
+	// chosenID is the connection ID that the upstream chose, usedID the one
+	// that the caller used last.
+	chosenID string
+	usedID   string
 }
 
-// Reply is where an answer of the upstream goes.
-type Reply struct {
+// ReturnPath is where an answer of the upstream is sent.
+type ReturnPath struct {
 	Via   netip.AddrPort
 	Trace []byte
 }
 
 // Limits bound an agent's tables.
 type Limits struct {
-	// Flows is the number of open flows. Beyond it openings are declined.
-	Flows int
-	// Memory is the number of placements that a home remembers. Beyond it
-	// the longest unused goes; a resent opening then starts a search.
-	Memory int
-	// Idle is how long a flow without any datagram is kept.
-	Idle clock.Millis
-	// Opening is how long a flow is kept that its upstream never answered.
-	Opening clock.Millis
+	// MaxFlows bounds the open flows. Above it openings are declined.
+	MaxFlows int
+	// MaxPlacements bounds the placements that a home records. Above it the
+	// least recently used is evicted; a resent opening then starts a search.
+	MaxPlacements int
+	// IdleTimeout is how long a flow without any datagram is kept.
+	IdleTimeout clock.Millis
+	// UnansweredTimeout is how long a flow is kept that its upstream has never
+	// answered.
+	UnansweredTimeout clock.Millis
 }
 
-// note is what a target remembers of a flow that another one owns or claims.
-type note struct {
-	to target.ID
-	at clock.Millis
-	// mark tells that the other one is a home that searched for an owner;
-	// otherwise it is a target on which this one placed the flow.
-	mark bool
-	// refused tells that this target refused the flow.
+// record is what a target keeps about a flow that another target owns or
+// searches for, or that it has refused itself.
+type record struct {
+	to         target.ID
+	recordedAt clock.Millis
+	// searching is set in a search record: to is a home that searched for an
+	// owner. Otherwise to is a target on which this one placed the flow.
+	searching bool
+	// refused is set if this target refused the flow.
 	refused bool
 }
 
 type shard struct {
-	mu     sync.Mutex
-	flows  map[netip.AddrPort]*Flow
-	memory *simplelru.LRU[netip.AddrPort, note]
-	claims *simplelru.LRU[netip.AddrPort, claim]
-	// over has the flows that ended as idle, with their last datagram.
-	over *simplelru.LRU[netip.AddrPort, clock.Millis]
+	mu       sync.Mutex
+	flows    map[netip.AddrPort]*Flow
+	records  *simplelru.LRU[netip.AddrPort, record]
+	searches *simplelru.LRU[netip.AddrPort, search]
+	// expired holds the time of the last datagram of flows that have expired.
+	expired *simplelru.LRU[netip.AddrPort, clock.Millis]
 }
 
-// Table is the state of one agent. Workers share it.
+// Table is the flow state of one agent. It is safe for concurrent use.
 //
-// Lock order: the lock of one shard, then that of the loads or that of the
-// identifiers. No two shards are locked at once.
+// Lock order: the lock of one shard, then that of the peer loads or that of the
+// connection IDs. At most one shard is locked at a time.
 type Table struct {
-	limits atomic.Pointer[Limits]
-	shards [shardCount]shard
-	ids    identifiers
-	loads  *Loads
-	count  atomic.Int64
-	fresh  atomic.Int64
-	active atomic.Int64
-	ended  atomic.Uint64
-	number atomic.Uint64
+	limits            atomic.Pointer[Limits]
+	shards            [shardCount]shard
+	connectionIDs     connectionIDs
+	loads             *PeerLoads
+	count             atomic.Int64
+	unanswered        atomic.Int64
+	active            atomic.Int64
+	expiredFlows      atomic.Uint64
+	lastOpeningNumber atomic.Uint64
 }
 
 // NewTable returns an empty table.
-func NewTable(limits Limits, loads *Loads) *Table {
+func NewTable(limits Limits, loads *PeerLoads) *Table {
 	t := &Table{loads: loads}
 	t.limits.Store(&limits)
-	t.ids.flows = map[string]*Flow{}
+	t.connectionIDs.flows = map[string]*Flow{}
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.flows = map[netip.AddrPort]*Flow{}
-		s.memory, _ = simplelru.NewLRU[netip.AddrPort, note](max(limits.Memory/shardCount, 1), nil)
-		s.claims, _ = simplelru.NewLRU[netip.AddrPort, claim](max(limits.Memory/shardCount, 1), nil)
-		s.over, _ = simplelru.NewLRU[netip.AddrPort, clock.Millis](max(limits.Flows/shardCount, 1), nil)
+		s.records, _ = simplelru.NewLRU[netip.AddrPort, record](max(limits.MaxPlacements/shardCount, 1), nil)
+		s.searches, _ = simplelru.NewLRU[netip.AddrPort, search](max(limits.MaxPlacements/shardCount, 1), nil)
+		s.expired, _ = simplelru.NewLRU[netip.AddrPort, clock.Millis](max(limits.MaxFlows/shardCount, 1), nil)
 	}
 	return t
 }
 
-// SetLimits brings later limits into force. Memory keeps the size that it was
-// made with.
+// SetLimits replaces the limits. The capacity of the records does not change
+// after NewTable.
 func (t *Table) SetLimits(limits Limits) {
 	t.limits.Store(&limits)
 }
 
-// full reports that the table takes no further flow.
+// full reports whether the table accepts no further flow.
 func (t *Table) full() bool {
-	return t.Len() >= t.limits.Load().Flows
+	return t.Len() >= t.limits.Load().MaxFlows
 }
 
 func (t *Table) shard(caller netip.AddrPort) *shard {
-	var room [18]byte
-	b := envelope.AppendCaller(room[:0], caller)
+	var buf [18]byte
+	b := envelope.AppendCaller(buf[:0], caller)
 	return &t.shards[xxh3.Hash(b)%shardCount]
 }
 
-// Owns reports that a caller's flow is open here.
+// Owns reports whether this target owns the caller's flow.
 func (t *Table) Owns(caller netip.AddrPort) bool {
 	s := t.shard(caller)
 	s.mu.Lock()
@@ -156,68 +160,69 @@
 	return int(t.count.Load())
 }
 
-// Opening returns the number of flows that no upstream has answered yet.
-func (t *Table) Opening() int {
-	return int(t.fresh.Load())
+// UnansweredFlows returns the number of flows that the upstream has not answered yet.
+func (t *Table) UnansweredFlows() int {
+	return int(t.unanswered.Load())
 }
 
-// add puts a flow into its shard, whose lock is held.
+// add adds a flow to its shard, whose lock is held.
 func (t *Table) add(s *shard, f *Flow) {
 	s.flows[f.Caller] = f
-	s.memory.Remove(f.Caller)
-	s.claims.Remove(f.Caller)
-	s.over.Remove(f.Caller)
+	s.records.Remove(f.Caller)
+	s.searches.Remove(f.Caller)
+	s.expired.Remove(f.Caller)
 	t.count.Add(1)
 	if !f.Answered {
-		t.fresh.Add(1)
+		t.unanswered.Add(1)
 	}
 }
 
-// remove takes a flow out of its shard, whose lock is held.
+// remove removes a flow from its shard, whose lock is held.
 func (t *Table) remove(s *shard, f *Flow) {
 	delete(s.flows, f.Caller)
-	t.ids.forget(f)
+	t.connectionIDs.remove(f)
 	t.count.Add(-1)
 	if !f.Answered {
-		t.fresh.Add(-1)
+		t.unanswered.Add(-1)
 	}
 }
 
-// Answer notes a datagram of the upstream on a flow and returns the balancer
-// that takes it back. It reports false where the flow has ended.
-func (t *Table) Answer(now clock.Millis, f *Flow, datagram []byte) (Reply, bool) {
+// RecordAnswer records a datagram of the upstream on a flow and returns the path
+// back to the caller. It reports false if the flow has ended.
+func (t *Table) RecordAnswer(now clock.Millis, f *Flow, datagram []byte) (ReturnPath, bool) {
 	s := t.shard(f.Caller)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.flows[f.Caller] != f {
-		return Reply{}, false
+		return ReturnPath{}, false
 	}
 	f.LastOut = now
 	if !f.Answered {
 		f.Answered = true
-		t.fresh.Add(-1)
+		t.unanswered.Add(-1)
 	}
-	t.ids.answered(f, datagram)
-	r := Reply{Via: f.Via, Trace: f.Trace}
+	t.connectionIDs.learnChosen(f, datagram)
+	r := ReturnPath{Via: f.Via, Trace: f.Trace}
 	f.Trace = nil
 	return r, true
 }
 
-// quiet is the silence after which a flow may well be over: its end is
-// encrypted, so an agent does not see it.
-const quiet = clock.Second
+// activeInterval is how long after its last datagram a flow counts as active. A
+// flow that has been silent for longer may have ended: its end is encrypted, so an
+// agent does not see it.
+const activeInterval = clock.Second
 
-// Active returns how many flows had a datagram shortly before the last Expire.
+// Active returns how many flows were active at the last Expire.
 func (t *Table) Active() int {
 	return int(t.active.Load())
 }
 
-// EndedFlows returns how many flows Expire has ended.
-func (t *Table) EndedFlows() uint64 {
-	return t.ended.Load()
+// ExpiredFlows returns how many flows Expire has removed so far.
+func (t *Table) ExpiredFlows() uint64 {
+	return t.expiredFlows.Load()
 }
 
-// Expire removes the flows that have ended by now and returns them. With all it
+// Expire removes the flows that have timed out and returns them. If all is set it
 // removes every flow: a drain has reached its limit.
 func (t *Table) Expire(now clock.Millis, all bool) []*Flow {
 	var ended []*Flow
@@ -226,59 +231,59 @@
 		s := &t.shards[i]
 		s.mu.Lock()
 		for _, f := range s.flows {
-			if all || t.over(now, f) {
+			if all || t.isExpired(now, f) {
 				t.remove(s, f)
 				ended = append(ended, f)
 				if !all {
-					s.over.Add(f.Caller, max(f.LastIn, f.LastOut))
+					s.expired.Add(f.Caller, max(f.LastIn, f.LastOut))
 				}
 				continue
 			}
-			if now.Sub(max(f.LastIn, f.LastOut)) <= quiet {
+			if now.Sub(max(f.LastIn, f.LastOut)) <= activeInterval {
 				active++
 			}
 		}
 		s.mu.Unlock()
 	}
 	t.active.Store(int64(active))
-	t.ended.Add(uint64(len(ended)))
+	t.expiredFlows.Add(uint64(len(ended)))
 	return ended
 }
 
-func (t *Table) over(now clock.Millis, f *Flow) bool {
+func (t *Table) isExpired(now clock.Millis, f *Flow) bool {
 	limits := t.limits.Load()
 	last := max(f.LastIn, f.LastOut)
-	if now.Sub(last) > limits.Idle {
+	if now.Sub(last) > limits.IdleTimeout {
 		return true
 	}
-	return !f.Answered && now.Sub(f.Started) > limits.Opening
+	return !f.Answered && now.Sub(f.Started) > limits.UnansweredTimeout
 }
 
-// Ended tells a home that a flow which it placed is over.
-func (t *Table) Ended(caller netip.AddrPort, owner target.ID) {
+// HandleEnded removes the record of a flow that this home placed and that has ended.
+func (t *Table) HandleEnded(caller netip.AddrPort, owner target.ID) {
 	s := t.shard(caller)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n, ok := s.memory.Peek(caller); ok && n.to == owner {
-		s.memory.Remove(caller)
+	if r, ok := s.records.Peek(caller); ok && r.to == owner {
+		s.records.Remove(caller)
 	}
 }
 
-// Found tells a home that its search has ended at the owner of the flow.
-func (t *Table) Found(now clock.Millis, caller netip.AddrPort, owner target.ID) {
+// HandleFound records the owner that this home's search has found.
+func (t *Table) HandleFound(now clock.Millis, caller netip.AddrPort, owner target.ID) {
 	s := t.shard(caller)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, own := s.flows[caller]; own {
 		return
 	}
-	s.claims.Remove(caller)
-	s.memory.Add(caller, note{to: owner, at: now})
+	s.searches.Remove(caller)
+	s.records.Add(caller, record{to: owner, recordedAt: now})
 }
 
-// Vias moves the flows that answer through a balancer which leaves to another
-// one, and returns how many there were.
-func (t *Table) Vias(leaving func(netip.AddrPort) bool, other netip.AddrPort) int {
+// ReplaceVia moves the flows that answer through a leaving balancer to another
+// one, and returns how many it has moved.
+func (t *Table) ReplaceVia(leaving func(netip.AddrPort) bool, other netip.AddrPort) int {
 	moved := 0
 	for i := range t.shards {
 		s := &t.shards[i]
--- a/internal/connection/owner/view.go
+++ b/internal/connection/owner/view.go
@@ -5,33 +5,33 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// View is the targets of the agent's service as the agent sees them, itself
-// included. It is immutable; the process replaces it as a whole.
+// View is the set of targets of the agent's service as the agent sees them,
+// including its own. It is immutable; the process replaces it as a whole.
 type View struct {
 	Set         *target.Set
 	Self        target.ID
 	Incarnation uint32
-	// Changed gives, for each target of the set, when it last joined,
+	// ChangedAt is, for each target of the set, when it last joined,
 	// restarted, left, or changed between suspected and not.
-	Changed []clock.Millis
-	// Joined is when this incarnation of the target itself began.
-	Joined clock.Millis
-	// Removed is when a target last went out of the set.
-	Removed clock.Millis
-	// Window is how long a caller may resend an opening datagram.
-	Window clock.Millis
+	ChangedAt []clock.Millis
+	// JoinedAt is when the present incarnation of this target began.
+	JoinedAt clock.Millis
+	// LastRemoved is when a target was last removed from the set.
+	LastRemoved clock.Millis
+	// ResendWindow is how long a caller may resend an opening datagram.
+	ResendWindow clock.Millis
 }
 
-// Unsettled reports whether an earlier copy of the caller's opening datagram
-// may have found another home: some target before this one in the caller's
-// order has changed within the window, or this one itself.
-func (v *View) Unsettled(now clock.Millis, caller []byte) bool {
-	if now.Sub(v.Removed) <= v.Window {
+// HomeMayHaveChanged reports whether an earlier copy of the caller's opening
+// datagram may have gone to another home: this target, or one before it in the
+// caller's order, has changed within the resend window, or a target was removed.
+func (v *View) HomeMayHaveChanged(now clock.Millis, caller []byte) bool {
+	if now.Sub(v.LastRemoved) <= v.ResendWindow {
 		return true
 	}
 	own := target.Score(caller, v.Self)
 	for i := range v.Set.Targets {
-		if now.Sub(v.Changed[i]) > v.Window {
+		if now.Sub(v.ChangedAt[i]) > v.ResendWindow {
 			continue
 		}
 		if target.Score(caller, v.Set.Targets[i].ID) >= own {
@@ -41,51 +41,51 @@
 	return false
 }
 
-// formerHome reports that this target may have been the flow's home shortly
-// before its present incarnation, and has lost its notes.
+// formerHome reports whether this target may have been the flow's home shortly
+// before its present incarnation, and has lost its records.
 func (v *View) formerHome(now clock.Millis, caller []byte, home target.ID) bool {
-	return now.Sub(v.Joined) <= v.Window && target.Score(caller, v.Self) > target.Score(caller, home)
+	return now.Sub(v.JoinedAt) <= v.ResendWindow && target.Score(caller, v.Self) > target.Score(caller, home)
 }
 
-// Asked returns the next target of a search by a claimant.
+// NextSearched returns the next target of a search by a searcher.
 //
-// A suspected target behind the claimant in the caller's order never was the
-// home of this flow while the claimant was there. It is left out: it may be
-// dead and would swallow the search, and new flows would wait for nothing. A
-// claimant that is no home itself searches because the flow may be refused;
-// then everybody is asked.
+// A suspected target after the searcher in the caller's order was never the
+// home of this flow while the searcher was present. It is skipped: it may be
+// dead, and the search would be lost there and delay new flows needlessly. A
+// searcher that is not a home searches because the flow may be refused; then
+// every target is asked.
 //
-// A suspected target may have been the home before the claimant came, be alive and own
-// the flow. So everybody is asked as well for as long as a caller may send again after
-// the claimant's last change.
-func (v *View) Asked(now clock.Millis, caller []byte, visited []target.ID, claimant target.ID) (*target.Candidate, bool) {
+// A suspected target may have been the home before the searcher joined, be alive and own
+// the flow. So every target is also asked until the resend window after the searcher's
+// last change is over.
+func (v *View) NextSearched(now clock.Millis, caller []byte, visited []target.ID, searcher target.ID) (*target.Candidate, bool) {
 	c, ok := v.Set.Next(caller, visited)
 	if !ok {
 		return nil, false
 	}
-	behind := target.Score(caller, c.ID) < target.Score(caller, claimant)
-	if c.Suspected && behind && v.longHome(now, claimant) {
+	after := target.Score(caller, c.ID) < target.Score(caller, searcher)
+	if c.Suspected && after && v.stableHome(now, searcher) {
 		return nil, false
 	}
 	return c, true
 }
 
-// longHome reports that a target has been a home for as long as a caller may
-// send an opening datagram again, and that this one was there to see it.
-func (v *View) longHome(now clock.Millis, id target.ID) bool {
-	if now.Sub(v.Joined) <= v.Window {
+// stableHome reports whether a target has been able to open flows for the whole
+// resend window, and this target has been present for as long.
+func (v *View) stableHome(now clock.Millis, id target.ID) bool {
+	if now.Sub(v.JoinedAt) <= v.ResendWindow {
 		return false
 	}
 	for i := range v.Set.Targets {
 		if v.Set.Targets[i].ID == id {
-			return v.Set.Targets[i].Opens() && now.Sub(v.Changed[i]) > v.Window
+			return v.Set.Targets[i].Opens() && now.Sub(v.ChangedAt[i]) > v.ResendWindow
 		}
 	}
 	return false
 }
 
-// suspected adds the suspected targets to the visited ones.
-func (v *View) suspected(visited []target.ID) []target.ID {
+// appendSuspected appends the suspected targets to the visited ones.
+func (v *View) appendSuspected(visited []target.ID) []target.ID {
 	for i := range v.Set.Targets {
 		if v.Set.Targets[i].Suspected {
 			visited = append(visited, v.Set.Targets[i].ID)
--- a/internal/connection/upstream/pool_test.go
+++ b/internal/connection/upstream/pool_test.go
@@ -34,8 +34,8 @@
 	answered.Add(flows)
 	local := netip.MustParseAddr("127.0.0.1")
 	p, err := upstream.NewPool(local, echo.LocalAddr().(*net.UDPAddr).AddrPort(), 2, func(f *owner.Flow, datagram []byte) {
-		if len(datagram) != 1 || uint64(datagram[0]) != f.Opening {
-			t.Errorf("flow %d got %v", f.Opening, datagram)
+		if len(datagram) != 1 || uint64(datagram[0]) != f.OpeningNumber {
+			t.Errorf("flow %d got %v", f.OpeningNumber, datagram)
 		}
 		answered.Done()
 	})
@@ -45,7 +45,7 @@
 	defer p.Close()
 	for n := range flows {
 		go func() {
-			link, err := p.Dial(&owner.Flow{Opening: uint64(n)}, 0)
+			link, err := p.Dial(&owner.Flow{OpeningNumber: uint64(n)}, 0)
 			if err == nil {
 				err = link.Send([]byte{byte(n)})
 			}
--- a/internal/measures/measures.go
+++ b/internal/measures/measures.go
@@ -135,7 +135,7 @@
 	w.Run(settle)
 	w.Add("joined")
 	// It opens flows from the end of its joining on.
-	w.Run(owner.NewsLag)
+	w.Run(owner.MaxPropagationDelay)
 	start := w.Now()
 	for w.Now().Sub(start) < 2*mean {
 		w.Run(sampleGap)
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -98,7 +98,7 @@
 	lines   zerolog.Logger
 	count   counters
 	table   *owner.Table
-	loads   *owner.Loads
+	loads   *owner.PeerLoads
 	sealer  *envelope.Sealer
 	pool    *upstream.Pool
 	refuser *quic.Refuser
@@ -127,7 +127,7 @@
 	deafSeen  atomic.Uint64
 	deafSince atomic.Int64
 	trustMu   sync.Mutex
-	trust     *owner.Trust
+	trust     *owner.FlowEstimator
 
 	mu       sync.Mutex
 	self     member.Member
@@ -246,9 +246,9 @@
 
 // open makes the tables and sockets that the service's record sizes.
 func (a *Agent) open() error {
-	a.loads = owner.NewLoads(staleDigests * a.record.Digest)
+	a.loads = owner.NewPeerLoads(staleDigests * a.record.Digest)
 	a.table = owner.NewTable(a.limits(), a.loads)
-	a.trust = owner.NewTrust(a.record.Idle)
+	a.trust = owner.NewFlowEstimator(a.record.Idle)
 	pool, err := upstream.NewPool(a.settings.Local, a.settings.Upstream, a.settings.Workers, a.answer)
 	if err != nil {
 		return err
@@ -261,8 +261,8 @@
 // limits are those of the table by the service's record.
 func (a *Agent) limits() owner.Limits {
 	return owner.Limits{
-		Flows: a.record.Flows, Memory: a.record.Flows * memoryFactor,
-		Idle: a.record.Idle, Opening: a.record.Opening,
+		MaxFlows: a.record.Flows, MaxPlacements: a.record.Flows * memoryFactor,
+		IdleTimeout: a.record.Idle, UnansweredTimeout: a.record.Opening,
 	}
 }
 
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -120,7 +120,7 @@
 	if a.self.State != member.Joining || a.accepting.Load() || a.Ready() == "" {
 		t.Errorf("state %s, accepting %t", a.self.State, a.accepting.Load())
 	}
-	c.Add(owner.NewsLag)
+	c.Add(owner.MaxPropagationDelay)
 	if a.settle() {
 		t.Error("joined before the news are everywhere")
 	}
@@ -152,7 +152,7 @@
 	a := newTest(t, c)
 	a.record = config.Service{Drain: clock.Hour, Flows: 10}
 	a.version = 1
-	a.table = owner.NewTable(a.limits(), owner.NewLoads(1))
+	a.table = owner.NewTable(a.limits(), owner.NewPeerLoads(1))
 	a.drained = true
 	a.setState()
 	if a.drainOver(c.Add(clock.Hour)) {
--- a/internal/process/agent/count.go
+++ b/internal/process/agent/count.go
@@ -37,7 +37,7 @@
 
 // flowLine logs what became of a flow, by what does not change while it is open.
 func (a *Agent) flowLine(event string, f *owner.Flow) {
-	a.lines.Debug().Str("event", event).Stringer("caller", f.Caller).Uint64("opening", f.Opening).
+	a.lines.Debug().Str("event", event).Stringer("caller", f.Caller).Uint64("opening", f.OpeningNumber).
 		Uint16("port", f.Link.Port()).
 		Int64("age", int64(a.deps.Clock.Now().Sub(f.Started))).Msg("flow")
 }
--- a/internal/process/agent/load.go
+++ b/internal/process/agent/load.go
@@ -52,9 +52,9 @@
 // own is what the agent knows of its target: what it counts itself, corrected
 // by the upstream's report. The report only ever takes away: it lags and may
 // be wrong, so it can keep flows off the target but never draw them to it.
-func (a *Agent) own() owner.Own {
+func (a *Agent) own() owner.LocalState {
 	now := a.deps.Clock.Now()
-	o := owner.Own{Flows: a.table.Len(), Accepting: a.accepting.Load() && !a.deaf(now), Warmth: a.ramp(now)}
+	o := owner.LocalState{Flows: a.table.Len(), Accepting: a.accepting.Load() && !a.deaf(now), Warmth: a.ramp(now)}
 	o.Slots = a.slots.Load()
 	r := a.report.Load()
 	if r == nil || now.Sub(r.at) > reportBound {
@@ -62,7 +62,7 @@
 	}
 	o.Slots, o.Busy = r.load.Slots, r.load.Busy
 	if r.load.Connections != nil {
-		since := int(a.table.LastNumber() - r.number)
+		since := int(a.table.LastOpeningNumber() - r.number)
 		o.Flows = a.stillOpen(now, o.Flows, int(*r.load.Connections), since)
 	}
 	if r.load.Shedding {
@@ -107,7 +107,7 @@
 // refresh asks the load endpoint. It is asked right before a digest, so that
 // peers hear of ended flows as early as they can.
 func (a *Agent) refresh(ctx context.Context, client *http.Client) {
-	number := a.table.LastNumber()
+	number := a.table.LastOpeningNumber()
 	l, err := ask(ctx, client, a.settings.Load)
 	if err != nil {
 		return
@@ -116,8 +116,8 @@
 	a.report.Store(&report{load: l, at: now, number: number})
 	if l.Connections != nil {
 		a.trustMu.Lock()
-		a.trust.Report(now, a.table.Len(), int(*l.Connections), a.table.EndedFlows())
-		state := a.trust.State(now)
+		a.trust.Report(now, a.table.Len(), int(*l.Connections), a.table.ExpiredFlows())
+		state := a.trust.ReportTrust(now)
 		a.trustMu.Unlock()
 		a.deps.Log.Debug().Str("event", "load").Str("report", state).Int("flows", a.table.Len()).
 			Uint32("connections", *l.Connections).Int("active", a.table.Active()).Msg("asked the upstream")
@@ -155,7 +155,7 @@
 	view := a.view.Load()
 	own := a.own()
 	d := &wire.Digest{
-		Sequence: a.sequence.Add(1), Flows: uint32(own.Flows), Opening: uint32(a.table.Opening()),
+		Sequence: a.sequence.Add(1), Flows: uint32(own.Flows), Opening: uint32(a.table.UnansweredFlows()),
 		Busy: own.Busy, Slots: own.Slots, Warmth: own.Warmth, Accepting: own.Accepting,
 		Sender: view.Self, Incarnation: view.Incarnation,
 	}
@@ -183,7 +183,7 @@
 	if !a.addressed(e) {
 		return
 	}
-	if !a.loads.Note(now, e.Digest.Sender, e.Digest.Incarnation, e.Digest) {
+	if !a.loads.Update(now, e.Digest.Sender, e.Digest.Incarnation, e.Digest) {
 		a.count.digestsLate.Inc(1)
 		return
 	}
--- a/internal/process/agent/tunnel.go
+++ b/internal/process/agent/tunnel.go
@@ -110,7 +110,7 @@
 	}
 	view := a.view.Load()
 	arrival := owner.Arrival{Now: now, Envelope: e, Via: via, Random: rand.Float64()}
-	var own owner.Own
+	var own owner.LocalState
 	if e.Stage != wire.Stage_STAGE_OWNED {
 		// Only who may place or adopt a flow needs the load; it takes a
 		// lock that all workers share.
@@ -122,8 +122,8 @@
 			Service: e.Service, Target: view.Self, Caller: envelope.Caller(e.Caller).String(), Outcome: string(d.Reason),
 		})
 	}
-	if d.Outlived > 0 {
-		a.outlived(envelope.Caller(e.Caller), d.Outlived)
+	if d.ExpiredIdle > 0 {
+		a.outlived(envelope.Caller(e.Caller), d.ExpiredIdle)
 	}
 	a.act(w, d, via)
 }
@@ -141,10 +141,10 @@
 		return
 	}
 	if e.Kind == wire.Kind_KIND_ENDED {
-		a.table.Ended(envelope.Caller(e.Caller), e.Home)
+		a.table.HandleEnded(envelope.Caller(e.Caller), e.Home)
 		return
 	}
-	a.table.Found(now, envelope.Caller(e.Caller), e.Home)
+	a.table.HandleFound(now, envelope.Caller(e.Caller), e.Home)
 }
 
 // addressed reports that an envelope is for this target and incarnation. One
@@ -242,12 +242,12 @@
 	if !ok {
 		return
 	}
-	a.giveBack(caller, 0, datagram, owner.Reply{Via: via})
+	a.giveBack(caller, 0, datagram, owner.ReturnPath{Via: via})
 }
 
 // answer takes a datagram of the upstream.
 func (a *Agent) answer(f *owner.Flow, datagram []byte) {
-	reply, ok := a.table.Answer(a.deps.Clock.Now(), f, datagram)
+	reply, ok := a.table.RecordAnswer(a.deps.Clock.Now(), f, datagram)
 	if !ok {
 		a.count.late.Inc(1)
 		return
@@ -256,11 +256,11 @@
 	if len(reply.Trace) > 0 {
 		reply.Trace = a.deps.Tracer.Hop(reply.Trace, "agent.answer", trace.Hop{Caller: f.Caller.String()})
 	}
-	a.giveBack(f.Caller, f.Opening, datagram, reply)
+	a.giveBack(f.Caller, f.OpeningNumber, datagram, reply)
 }
 
 // giveBack brings a datagram to a caller through a balancer.
-func (a *Agent) giveBack(caller netip.AddrPort, opening uint64, datagram []byte, reply owner.Reply) {
+func (a *Agent) giveBack(caller netip.AddrPort, opening uint64, datagram []byte, reply owner.ReturnPath) {
 	view := a.view.Load()
 	if view == nil || !reply.Via.IsValid() {
 		a.count.unsent.Inc(1)
@@ -290,5 +290,5 @@
 	if !ok {
 		return
 	}
-	a.table.Vias(func(v netip.AddrPort) bool { return v == balancer }, other)
+	a.table.ReplaceVia(func(v netip.AddrPort) bool { return v == balancer }, other)
 }
--- a/internal/process/agent/view.go
+++ b/internal/process/agent/view.go
@@ -54,7 +54,7 @@
 	a.slots.Store(uint32(record.Slots))
 	if a.table != nil {
 		a.table.SetLimits(a.limits())
-		a.loads.SetBound(staleDigests * record.Digest)
+		a.loads.SetMaxAge(staleDigests * record.Digest)
 	}
 }
 
@@ -116,7 +116,7 @@
 	if a.inherited.Load() && a.familiar {
 		return false
 	}
-	return a.joined == 0 || now.Sub(a.joined) <= owner.NewsLag
+	return a.joined == 0 || now.Sub(a.joined) <= owner.MaxPropagationDelay
 }
 
 // settle ends the joining of the target once its time has passed, and reports
@@ -146,7 +146,7 @@
 	set := target.NewSet(a.record.Number, candidates)
 	v := a.observer.View(now, set, a.self.Incarnation, a.record.Resend)
 	if a.loads != nil {
-		a.loads.Keep(set)
+		a.loads.Retain(set)
 	}
 	a.view.Store(v)
 }
--- a/internal/standin/model/change.go
+++ b/internal/standin/model/change.go
@@ -128,7 +128,7 @@
 		return
 	}
 	t.joining = true
-	w.After(owner.NewsLag, func() {
+	w.After(owner.MaxPropagationDelay, func() {
 		t.joining = false
 		if t.running() {
 			w.changed(t)
--- a/internal/standin/model/target.go
+++ b/internal/standin/model/target.go
@@ -21,8 +21,8 @@
 	service     uint32
 	tunnel      netip.AddrPort
 	table       *owner.Table
-	loads       *owner.Loads
-	trust       *owner.Trust
+	loads       *owner.PeerLoads
+	trust       *owner.FlowEstimator
 	observer    *owner.Observer
 	roster      roster
 	view        *owner.View
@@ -81,12 +81,12 @@
 		tunnel:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(host >> 8), byte(host)}), 1),
 		started: w.Now(), upstream: map[uint64]netip.AddrPort{}, links: map[netip.AddrPort]*owner.Flow{},
 	}
-	t.loads = owner.NewLoads(4 * w.Options.Digest)
+	t.loads = owner.NewPeerLoads(4 * w.Options.Digest)
 	t.table = owner.NewTable(owner.Limits{
-		Flows: w.Options.Flows, Memory: 1 << 15, Idle: w.Options.Idle, Opening: handshake,
+		MaxFlows: w.Options.Flows, MaxPlacements: 1 << 15, IdleTimeout: w.Options.Idle, UnansweredTimeout: handshake,
 	}, t.loads)
 	t.observer = owner.NewObserver(t.ID)
-	t.trust = owner.NewTrust(w.Options.Idle)
+	t.trust = owner.NewFlowEstimator(w.Options.Idle)
 	return t
 }
 
@@ -120,14 +120,14 @@
 	t.roster[t.ID] = known{Candidate: t.candidate()}
 	t.view = t.observer.View(now, t.roster.set(t.service), t.Incarnation, t.world.Options.Resend)
 	if t.world.Options.Without == Search {
-		t.view.Window = -1
+		t.view.ResendWindow = -1
 	}
 }
 
 // own is what the agent knows of its target.
-func (t *Target) own() owner.Own {
-	since := int(t.table.LastNumber() - t.reported.number)
-	o := owner.Own{
+func (t *Target) own() owner.LocalState {
+	since := int(t.table.LastOpeningNumber() - t.reported.number)
+	o := owner.LocalState{
 		Flows:     t.trust.Flows(t.world.Now(), t.table.Len(), t.reported.connections, since, t.table.Active()),
 		Accepting: !t.draining && !t.joining && !t.Shedding, Warmth: t.warmth(),
 	}
@@ -203,7 +203,7 @@
 	w := t.world
 	w.send(t.tunnel, searcher.Tunnel, func() {
 		if h := w.at(searcher.Tunnel); h != nil && h.Incarnation == searcher.Incarnation {
-			h.table.Found(w.Now(), caller, t.ID)
+			h.table.HandleFound(w.Now(), caller, t.ID)
 		}
 	})
 }
@@ -223,7 +223,7 @@
 	if d.opening {
 		answer = firstAnswer(d.flow)
 	}
-	reply, ok := t.table.Answer(w.Now(), f, answer)
+	reply, ok := t.table.RecordAnswer(w.Now(), f, answer)
 	if !ok {
 		return
 	}
@@ -250,11 +250,11 @@
 		return t.running()
 	}
 	w := t.world
-	t.reported = report{connections: len(t.upstream), number: t.table.LastNumber()}
+	t.reported = report{connections: len(t.upstream), number: t.table.LastOpeningNumber()}
 	if w.Options.Lie && t.tunnel.Addr().As4()[3]%2 == 1 {
 		t.reported.connections = 0
 	}
-	t.trust.Report(w.Now(), t.table.Len(), t.reported.connections, t.table.EndedFlows())
+	t.trust.Report(w.Now(), t.table.Len(), t.reported.connections, t.table.ExpiredFlows())
 	t.sequence++
 	own := t.own()
 	d := &wire.Digest{
@@ -272,7 +272,7 @@
 
 func (w *World) digest(to *target.Candidate, d *wire.Digest) {
 	if p := w.at(to.Tunnel); p != nil && p.ID == to.ID && p.Incarnation == to.Incarnation {
-		p.loads.Note(w.Now(), d.Sender, d.Incarnation, d)
+		p.loads.Update(w.Now(), d.Sender, d.Incarnation, d)
 	}
 }
 
@@ -293,7 +293,7 @@
 		}
 		w.send(t.tunnel, home.Tunnel, func() {
 			if h := w.at(home.Tunnel); h != nil {
-				h.table.Ended(f.Caller, t.ID)
+				h.table.HandleEnded(f.Caller, t.ID)
 			}
 		})
 	}
@@ -311,7 +311,7 @@
 func (t *Target) keepAlive() {
 	for _, caller := range t.upstream {
 		if f := t.links[caller]; f != nil {
-			t.table.Answer(t.world.Now(), f, []byte{shortForm})
+			t.table.RecordAnswer(t.world.Now(), f, []byte{shortForm})
 		}
 	}
 }
