--- a/internal/connection/owner/decide.go
+++ b/internal/connection/owner/decide.go
@@ -154,7 +154,7 @@
 	if len(p.e.Trace) > 0 {
 		f.Trace = slices.Clone(p.e.Trace)
 	}
-	t.connectionIDs.learnUsed(f, p.e.Payload)
+	t.ids.learnUsed(f, p.e.Payload)
 	d := Decision{Action: Deliver, Flow: f}
 	if p.e.Stage == wire.Stage_STAGE_SEARCH {
 		d.Searcher, _ = p.view.Set.Find(p.e.Home)
@@ -184,7 +184,7 @@
 // after the first round has ended, so that a connection ID that two targets happen
 // to share never diverts a datagram from the owner of its addresses.
 func (t *Table) handleMoved(p *packet) Decision {
-	if _, ok := t.connectionIDs.find(p.e.Payload); ok {
+	if _, ok := t.ids.find(p.e.Payload); ok {
 		d := t.adopt(p, p.view.Self)
 		d.Moved = d.Adopted
 		return d
--- a/internal/connection/owner/ledger.go
+++ b/internal/connection/owner/ledger.go
@@ -143,7 +143,7 @@
 	}
 	f.Link = link
 	t.add(s, f)
-	t.connectionIDs.restore(f)
+	t.ids.restore(f)
 	return true
 }
 
--- a/internal/connection/owner/table.go
+++ b/internal/connection/owner/table.go
@@ -105,7 +105,7 @@
 type Table struct {
 	limits            atomic.Pointer[Limits]
 	shards            [shardCount]shard
-	connectionIDs     connectionIDs
+	ids               connectionIDs
 	loads             *PeerLoads
 	count             atomic.Int64
 	unanswered        atomic.Int64
@@ -118,7 +118,7 @@
 func NewTable(limits Limits, loads *PeerLoads) *Table {
 	t := &Table{loads: loads}
 	t.limits.Store(&limits)
-	t.connectionIDs.flows = map[string]*Flow{}
+	t.ids.flows = map[string]*Flow{}
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.flows = map[netip.AddrPort]*Flow{}
@@ -180,7 +180,7 @@
 // remove removes a flow from its shard, whose lock is held.
 func (t *Table) remove(s *shard, f *Flow) {
 	delete(s.flows, f.Caller)
-	t.connectionIDs.remove(f)
+	t.ids.remove(f)
 	t.count.Add(-1)
 	if !f.Answered {
 		t.unanswered.Add(-1)
@@ -201,7 +201,7 @@
 		f.Answered = true
 		t.unanswered.Add(-1)
 	}
-	t.connectionIDs.learnChosen(f, datagram)
+	t.ids.learnChosen(f, datagram)
 	r := ReturnPath{Via: f.Via, Trace: f.Trace}
 	f.Trace = nil
 	return r, true
