--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -32,20 +32,20 @@
 
 // keep lets a keeper write a failure domain at a size once.
 func keep(s Size) kept {
-	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: keptValue, Life: clock.Minute, Writes: keptWrites})
-	k.SetDomains(domains)
+	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{MaxValueBytes: keptValue, FlowTTL: clock.Minute, WritesPerSecond: keptWrites})
+	k.SetDomainCount(domains)
 	out := kept{targets: s.Targets / domains, flows: s.Flows / s.Targets}
 	next := 0
 	for i := range int(out.targets) {
 		agent := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 		e := checkpoint.Entry{Agent: agent, Service: "service", Born: 1_800_000_000_000, Writer: 1_800_000_000_000}
 		for range int(out.flows) {
-			e.Flows = e.Flows.Add(checkpoint.Flow{ID: keptFlow(next)})
+			e.Flows = e.Flows.Append(checkpoint.Flow{ID: keptFlow(next)})
 			next++
 		}
-		for _, part := range checkpoint.NewWriter().Parts(&e) {
+		for _, part := range checkpoint.NewSender().Parts(&e) {
 			// Parts that a Writer has made can be read.
-			_ = k.Hear(0, 0, agent, part)
+			_ = k.Receive(0, 0, agent, part)
 		}
 	}
 	for _, sheet := range k.Due(0) {
@@ -59,7 +59,7 @@
 			out.held += sheet.Entries[i].Flows.Len()
 		}
 	}
-	out.pause = k.Pause()
+	out.pause = k.WriteInterval()
 	return out
 }
 
--- a/internal/connection/checkpoint/entry.go
+++ b/internal/connection/checkpoint/entry.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	// format is the version of the layout of a sheet.
-	format = 1
-	// flowSize is what a flow takes: its addresses and the acknowledgement, in bytes.
+	// formatVersion is the version of the format of a stored shard.
+	formatVersion = 1
+	// flowSize is the size of a flow in bytes: its addresses and the acknowledgement.
 	flowSize = 16
-	// mostFlows bounds the flows of an entry, also of one that is read: nearly twice
+	// maxFlows bounds the flows of an entry, also of one that is read: nearly twice
 	// what a target holds at the size that is planned for in two years.
-	mostFlows = 4096
+	maxFlows = 4096
 )
 
 // Errors of this package, tested with errors.Is.
 var (
-	// ErrUnreadable means that a sheet has another writer or was damaged.
-	ErrUnreadable = errs.New("checkpoint: the sheet cannot be read")
-	// ErrFormat means that a sheet was written by a later version.
-	ErrFormat = errs.New("checkpoint: the sheet has a later format")
+	// ErrUnreadable means that a shard has another writer or is corrupted.
+	ErrUnreadable = errs.New("checkpoint: malformed shard")
+	// ErrFormat means that a shard was written by a later version.
+	ErrFormat = errs.New("checkpoint: shard has a later format version")
 )
 
 // Flow is one open flow.
 type Flow struct {
 	ID segment.Flow
-	// Ack is what its caller acknowledged last.
+	// Ack is the last acknowledgement of its caller.
 	Ack uint32
 }
 
-// Flows are open flows, packed: 16 bytes each.
+// Flows are open flows, packed in 16 bytes each.
 type Flows []byte
 
-// Add appends a flow.
-func (f Flows) Add(flow Flow) Flows {
+// Append appends a flow.
+func (f Flows) Append(flow Flow) Flows {
 	return binary.BigEndian.AppendUint32(segment.AppendFlow(f, flow.ID), flow.Ack)
 }
 
-// Len returns how many flows there are.
+// Len returns the number of flows.
 func (f Flows) Len() int {
 	return len(f) / flowSize
 }
 
-// All returns the flows in their order.
+// All iterates over the flows in order.
 func (f Flows) All() iter.Seq[Flow] {
 	return func(yield func(Flow) bool) {
 		for rest := f; len(rest) >= flowSize; rest = rest[flowSize:] {
@@ -63,53 +63,54 @@
 	}
 }
 
-// Cut returns the first i flows, and the others.
-func (f Flows) Cut(i int) (first, rest Flows) {
+// Split returns the first i flows, and the rest.
+func (f Flows) Split(i int) (first, rest Flows) {
 	i = min(max(i, 0), f.Len())
 	return f[:i*flowSize], f[i*flowSize:]
 }
 
 // Last returns the last n flows.
 func (f Flows) Last(n int) Flows {
-	_, last := f.Cut(f.Len() - n)
+	_, last := f.Split(f.Len() - n)
 	return last
 }
 
-// check returns ErrUnreadable for what Add has not made, or too much of it.
-func (f Flows) check() error {
-	if len(f)%flowSize != 0 || f.Len() > mostFlows {
+// validate returns ErrUnreadable if the length is not a multiple of flowSize or there
+// are too many flows.
+func (f Flows) validate() error {
+	if len(f)%flowSize != 0 || f.Len() > maxFlows {
 		return ErrUnreadable
 	}
 	return nil
 }
 
-// Entry is what is kept of one target.
+// Entry is what is stored of one target.
 type Entry struct {
-	// Agent is where the target's agent takes parcels.
+	// Agent is the address where the target's agent receives parcels.
 	Agent   netip.AddrPort
 	Service string
-	// Born is the start of the target, as it says itself.
+	// Born is the start time of the target, as it reports it.
 	Born uint64
-	// Writer is the start of the agent's process that the entry is of.
+	// Writer is the start time of the agent's process that wrote the entry.
 	Writer uint64
-	// At is when the entry was taken, in Unix milliseconds by the clock of the VM
-	// that did. It bars entries that are too old and proves nothing.
+	// At is when the entry was received, in Unix milliseconds by the clock of the VM
+	// that received it. It serves only to ignore entries that are too old.
 	At int64
-	// Flows are in the order of their last use, unless they were in the store.
+	// Flows are in the order of their last use, unless they were read from the store.
 	Flows Flows
 }
 
-// Sheet is one object of the store: entries of the targets of a failure domain.
-type Sheet struct {
-	// Shards is over how many objects the domain's entries are spread, and Shard
-	// which of them this is. The first one is always there.
-	Shards  int
-	Shard   int
+// Shard is one object of the store: entries of the targets of a failure domain.
+type Shard struct {
+	// Count is over how many shards the domain's entries are spread, and Index
+	// which of them this is. The first one always exists.
+	Count   int
+	Index   int
 	Entries []Entry
 }
 
-// stored is the layout of a sheet in the store.
-type stored struct {
+// storedShard is the format of a shard in the store.
+type storedShard struct {
 	Format  int    `json:"format"`
 	Shards  int    `json:"shards"`
 	Shard   int    `json:"shard"`
@@ -117,31 +118,31 @@
 	Data    []byte `json:"data"`
 }
 
-// MarshalJSON returns the sheet as it is stored.
-func (s Sheet) MarshalJSON() ([]byte, error) {
-	out := stored{Format: format, Shards: s.Shards, Shard: s.Shard, Entries: len(s.Entries)}
+// MarshalJSON returns the shard as it is stored.
+func (s Shard) MarshalJSON() ([]byte, error) {
+	out := storedShard{Format: formatVersion, Shards: s.Count, Shard: s.Index, Entries: len(s.Entries)}
 	for i := range s.Entries {
 		out.Data = s.Entries[i].pack(out.Data)
 	}
 	return json.Marshal(out)
 }
 
-// UnmarshalJSON reads a sheet, or returns ErrUnreadable or ErrFormat.
-func (s *Sheet) UnmarshalJSON(data []byte) error {
-	var in stored
+// UnmarshalJSON reads a shard, or returns ErrUnreadable or ErrFormat.
+func (s *Shard) UnmarshalJSON(data []byte) error {
+	var in storedShard
 	err := json.Unmarshal(data, &in)
-	if in.Format > format {
+	if in.Format > formatVersion {
 		return ErrFormat
 	}
 	if err != nil {
 		return errors.Join(ErrUnreadable, err)
 	}
-	if in.Format < format || in.Shards < 1 || in.Shards > mostShards || in.Shard < 0 || in.Shard >= in.Shards {
+	if in.Format < formatVersion || in.Shards < 1 || in.Shards > maxShards || in.Shard < 0 || in.Shard >= in.Shards {
 		return ErrUnreadable
 	}
-	read := Sheet{Shards: in.Shards, Shard: in.Shard}
+	read := Shard{Count: in.Shards, Index: in.Shard}
 	u := &unpacker{in: bytes.NewReader(in.Data)}
-	for range min(in.Entries, mostEntries) {
+	for range min(in.Entries, maxEntries) {
 		e := unpackEntry(u)
 		if u.err != nil {
 			return u.err
@@ -153,7 +154,7 @@
 }
 
 // Find returns the entry of an agent's target.
-func (s *Sheet) Find(agent netip.AddrPort) (Entry, bool) {
+func (s *Shard) Find(agent netip.AddrPort) (Entry, bool) {
 	for i := range s.Entries {
 		if s.Entries[i].Agent == agent {
 			return s.Entries[i], true
@@ -162,9 +163,9 @@
 	return Entry{}, false
 }
 
-// size is what an entry takes in the store, in bytes, from above.
-func (e *Entry) size() int {
-	// A caller takes up to 7 bytes, an acknowledgement 2, and JSON a third more.
+// maxStoredSize returns an upper bound of the size of an entry in the store, in bytes.
+func (e *Entry) maxStoredSize() int {
+	// A caller takes up to 7 bytes, an acknowledgement 2, and JSON adds a third.
 	const head, flow = 64, 9
 	return (head + len(e.Service) + e.Flows.Len()*flow) * 4 / 3
 }
--- a/internal/connection/checkpoint/entry_test.go
+++ b/internal/connection/checkpoint/entry_test.go
@@ -23,7 +23,7 @@
 func testFlows(count int) Flows {
 	var flows Flows
 	for i := range count {
-		flows = flows.Add(testFlow(i))
+		flows = flows.Append(testFlow(i))
 	}
 	return flows
 }
@@ -38,34 +38,34 @@
 	}
 }
 
-func TestSheetRoundTrip(t *testing.T) {
-	want := Sheet{Shards: 4, Shard: 2, Entries: []Entry{testEntry(1, 0), testEntry(2, 1), testEntry(3, 300)}}
+func TestShardRoundTrip(t *testing.T) {
+	want := Shard{Count: 4, Index: 2, Entries: []Entry{testEntry(1, 0), testEntry(2, 1), testEntry(3, 300)}}
 	want.Entries[0].Flows = nil
 	data, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got Sheet
+	var got Shard
 	if err := json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
 	}
 	for i := range want.Entries {
 		g, w := got.Entries[i], want.Entries[i]
 		if !sameFlows(g.Flows, w.Flows) {
-			t.Errorf("entry %d has other flows", i)
+			t.Errorf("entry %d has different flows", i)
 		}
 		g.Flows, w.Flows = nil, nil
 		if !reflect.DeepEqual(g, w) {
 			t.Errorf("got %+v, want %+v", g, w)
 		}
 	}
-	if got.Shards != 4 || got.Shard != 2 {
-		t.Errorf("got shard %d of %d", got.Shard, got.Shards)
+	if got.Count != 4 || got.Index != 2 {
+		t.Errorf("got shard %d of %d", got.Index, got.Count)
 	}
 }
 
-// sameFlows reports that the flows are the same, in any order, with acknowledgements
-// with which resets are taken.
+// sameFlows reports whether the flows are the same, in any order, with acknowledgements
+// that differ by rounding only.
 func sameFlows(got, want Flows) bool {
 	acks := map[segment.Flow]uint32{}
 	for f := range got.All() {
@@ -80,49 +80,49 @@
 	return got.Len() == want.Len()
 }
 
-// A caller goes on after the entry was kept: the reset must still be taken, by a caller
-// that takes what is within 76,800 bytes of its last acknowledgement.
-func TestAcknowledgementsStayWithinTheWindow(t *testing.T) {
+// A caller continues after the entry was stored. It must still accept a reset, which it
+// does within 76,800 bytes of its last acknowledgement.
+func TestResetStaysWithinTheWindow(t *testing.T) {
 	for _, ack := range []uint32{0, 1, ackUnit - 1, ackUnit, 1<<32 - 1} {
-		e := Entry{Agent: testAgent(1), Born: 1, Flows: Flows{}.Add(Flow{ID: testFlow(1).ID, Ack: ack})}
-		data, err := json.Marshal(Sheet{Shards: 1, Entries: []Entry{e}})
+		e := Entry{Agent: testAgent(1), Born: 1, Flows: Flows{}.Append(Flow{ID: testFlow(1).ID, Ack: ack})}
+		data, err := json.Marshal(Shard{Count: 1, Entries: []Entry{e}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s Sheet
+		var s Shard
 		if err := json.Unmarshal(data, &s); err != nil {
 			t.Fatal(err)
 		}
 		for f := range s.Entries[0].Flows.All() {
-			for _, later := range []uint32{ack, ack + staleAck} {
+			for _, later := range []uint32{ack, ack + maxAckLag} {
 				if off := int32(f.Ack - later); off > 76_800 || off < -76_800 {
-					t.Errorf("acknowledged %d, kept %d, then %d", ack, f.Ack, later)
+					t.Errorf("acknowledged %d, stored %d, then acknowledged %d", ack, f.Ack, later)
 				}
 			}
 		}
 	}
 }
 
-// Callers that come from a few networks take some seven bytes each: calls are paid for
-// by their bytes.
+// Calls to the store are paid for by their bytes: callers from a few networks take some
+// seven bytes each.
 func TestEntriesAreSmall(t *testing.T) {
 	const flows = 1000
 	e := testEntry(1, flows)
-	data, err := json.Marshal(Sheet{Shards: 1, Entries: []Entry{e}})
+	data, err := json.Marshal(Shard{Count: 1, Entries: []Entry{e}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if each := float64(len(data)) / flows; each > 8 {
-		t.Errorf("a flow takes %.1f bytes", each)
+		t.Errorf("a flow takes %.1f bytes in the store", each)
 	}
-	if len(data) > e.size()+128 {
-		t.Errorf("an entry takes %d bytes, estimated %d", len(data), e.size())
+	if len(data) > e.maxStoredSize()+128 {
+		t.Errorf("an entry takes %d bytes, with a bound of %d", len(data), e.maxStoredSize())
 	}
 }
 
-// Another writer's object lies under the domain's name: it must be told from a sheet,
-// and one of a later version of the product from garbage.
-func TestSheetOfAnotherWriter(t *testing.T) {
+// An object of another writer has the domain's name. It must be distinguished from a
+// shard, and a shard of a later version of the product from malformed data.
+func TestInvalidShard(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want error
@@ -141,25 +141,25 @@
 		{`[]`, ErrUnreadable},
 		{`{}`, ErrUnreadable},
 	} {
-		var s Sheet
+		var s Shard
 		if err := s.UnmarshalJSON([]byte(c.text)); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.text, err, c.want)
 		}
-		if !reflect.DeepEqual(s, Sheet{}) {
-			t.Errorf("%s: left %+v", c.text, s)
+		if !reflect.DeepEqual(s, Shard{}) {
+			t.Errorf("%s: the shard was changed to %+v", c.text, s)
 		}
 	}
 }
 
 func FuzzSheet(f *testing.F) {
-	data, err := json.Marshal(Sheet{Shards: 1, Entries: []Entry{testEntry(1, 3)}})
+	data, err := json.Marshal(Shard{Count: 1, Entries: []Entry{testEntry(1, 3)}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
 	f.Add([]byte(`{"format":1,"shards":1,"entries":1,"data":"CgAAARtY/////////////w=="}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var s Sheet
+		var s Shard
 		if json.Unmarshal(data, &s) != nil {
 			return
 		}
@@ -167,7 +167,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var second Sheet
+		var second Shard
 		if err := json.Unmarshal(again, &second); err != nil || len(second.Entries) != len(s.Entries) {
 			t.Errorf("%s became %s: %v", data, again, err)
 		}
--- a/internal/connection/checkpoint/keeper.go
+++ b/internal/connection/checkpoint/keeper.go
@@ -13,299 +13,304 @@
 )
 
 const (
-	// leastPause is the shortest pause between two writes of a sheet, and mostPause
-	// bounds the one after failed writes.
-	leastPause = 2 * clock.Second
-	mostPause  = 30 * clock.Second
-	// bytesPerTarget bounds what a keeper writes a second for each target, in the
-	// mean: a tenth of what a process may use for control.
-	bytesPerTarget = 300
-	// mostShards bounds the objects of a failure domain.
-	mostShards = 256
-	// mostEntries bounds the targets of a failure domain: twice as many as are
+	// minWriteInterval is the minimum interval between two writes of a shard, and
+	// maxRetryInterval bounds the interval after failed writes.
+	minWriteInterval = 2 * clock.Second
+	maxRetryInterval = 30 * clock.Second
+	// writeBytesPerTarget bounds the bytes per second that a keeper writes for each
+	// target on average: a tenth of what a process may use for control.
+	writeBytesPerTarget = 300
+	// maxShards bounds the shards of a failure domain.
+	maxShards = 256
+	// maxEntries bounds the targets of a failure domain: twice as many as are
 	// planned for in two years.
-	mostEntries = 2048
-	// mostBytes bounds the flows of all entries that a keeper holds: where there are
-	// more, each target has an equal part.
-	mostBytes = 8 << 20
-	// mostParts bounds the parts of one entry.
-	mostParts = (mostFlows + flowsPerPart - 1) / flowsPerPart
-	// fullPart is the part of a value that a sheet may fill, in percent, before it
-	// is split.
-	fullPart = 75
+	maxEntries = 2048
+	// maxFlowBytes bounds the flows of all entries that a keeper holds: if there are
+	// more, each target gets an equal share.
+	maxFlowBytes = 8 << 20
+	// maxParts bounds the parts of one entry.
+	maxParts = (maxFlows + flowsPerPart - 1) / flowsPerPart
+	// splitPercent is the percentage of a value that a shard may fill before it is
+	// split.
+	splitPercent = 75
 )
 
-// KeeperSettings are what a Keeper is told at start.
+// KeeperSettings are the settings of a Keeper.
 type KeeperSettings struct {
-	// Value is the largest value of the store, in bytes.
-	Value int
-	// Life is how long a flow may live.
-	Life clock.Millis
-	// Writes is how many writes a second all keepers together may make.
-	Writes float64
+	// MaxValueBytes is the size of the largest value of the store, in bytes.
+	MaxValueBytes int
+	// FlowTTL is how long a flow may live.
+	FlowTTL clock.Millis
+	// WritesPerSecond is how many writes a second all keepers together may make.
+	WritesPerSecond float64
 }
 
-// kept is the entry of one target.
-type kept struct {
+// keptEntry is the entry of one target.
+type keptEntry struct {
 	entry Entry
-	// number is the agent's number of it; zero if it was read from the store.
-	number uint32
-	at     clock.Millis
-	// told tells that the agent knows that the entry is in the store.
-	told bool
+	// number is the agent's number of the entry, or zero if it was read from the store.
+	number     uint32
+	receivedAt clock.Millis
+	// acknowledged is set if the agent was told that the entry is in the store, or if
+	// it was read from there.
+	acknowledged bool
 }
 
-// assembly is an entry of which parts are missing.
+// assembly is an entry with parts that have not been received yet.
 type assembly struct {
-	writer uint64
-	number uint32
-	parts  []Flows
-	have   int
+	writer   uint64
+	number   uint32
+	parts    []Flows
+	received int
 }
 
-// Acknowledgement tells an agent that its entry is in the store.
+// Acknowledgement confirms to an agent that its entry is in the store.
 type Acknowledgement struct {
-	Agent  netip.AddrPort
-	Number uint32
-	Pause  clock.Millis
+	Agent         netip.AddrPort
+	Number        uint32
+	WriteInterval clock.Millis
 }
 
-// Keeper collects the entries of a failure domain's targets. It belongs to one process
-// and is not safe for concurrent use.
+// Keeper collects the entries of a failure domain's targets. It is not safe for
+// concurrent use.
 type Keeper struct {
-	settings KeeperSettings
-	entries  map[netip.AddrPort]*kept
-	parts    map[netip.AddrPort]*assembly
-	shards   int
-	// changed are the shards that are to be written.
+	settings   KeeperSettings
+	entries    map[netip.AddrPort]*keptEntry
+	assemblies map[netip.AddrPort]*assembly
+	shardCount int
+	// changed has the shards that are to be written.
 	changed map[int]bool
-	// writing are the numbers of the entries in the sheets that are being written.
-	writing map[int]map[netip.AddrPort]uint32
-	domains int
-	next    clock.Millis
-	failed  int
+	// writing has the numbers of the entries in the shards that are being written.
+	writing      map[int]map[netip.AddrPort]uint32
+	domainCount  int
+	nextWrite    clock.Millis
+	failedWrites int
 }
 
-// NewKeeper returns a Keeper that knows nothing yet.
+// NewKeeper returns a Keeper without entries.
 func NewKeeper(settings KeeperSettings) *Keeper {
-	k := &Keeper{settings: settings, domains: 1}
-	k.Clear()
+	k := &Keeper{settings: settings, domainCount: 1}
+	k.Reset()
 	return k
 }
 
-// Clear forgets everything: another balancer keeps the entries now.
-func (k *Keeper) Clear() {
-	k.entries, k.parts = map[netip.AddrPort]*kept{}, map[netip.AddrPort]*assembly{}
+// Reset removes all entries: another balancer is the keeper now.
+func (k *Keeper) Reset() {
+	k.entries, k.assemblies = map[netip.AddrPort]*keptEntry{}, map[netip.AddrPort]*assembly{}
 	k.changed, k.writing = map[int]bool{}, map[int]map[netip.AddrPort]uint32{}
-	k.shards = 1
+	k.shardCount = 1
 }
 
-// SetDomains tells how many failure domains there are; each has a keeper.
-func (k *Keeper) SetDomains(n int) {
-	k.domains = max(n, 1)
+// SetDomainCount sets the number of failure domains; each has a keeper.
+func (k *Keeper) SetDomainCount(n int) {
+	k.domainCount = max(n, 1)
 }
 
-// Shards returns over how many objects the entries are spread.
-func (k *Keeper) Shards() int {
-	return k.shards
+// ShardCount returns over how many shards the entries are spread.
+func (k *Keeper) ShardCount() int {
+	return k.shardCount
 }
 
-// Load takes a sheet that is in the store. What agents have said themselves stays.
-func (k *Keeper) Load(now clock.Millis, wall int64, s *Sheet) {
-	k.join(s.Shards)
+// Load adds the entries of a shard that is in the store. Those received from agents
+// take precedence.
+func (k *Keeper) Load(now clock.Millis, wall int64, s *Shard) {
+	k.adoptShardCount(s.Count)
 	for i := range s.Entries {
 		e := &s.Entries[i]
-		if k.entries[e.Agent] != nil || e.old(wall, k.settings.Life) || len(k.entries) >= mostEntries {
+		if k.entries[e.Agent] != nil || e.expired(wall, k.settings.FlowTTL) || len(k.entries) >= maxEntries {
 			continue
 		}
-		age := min(max(clock.Millis(wall-e.At), 0), k.settings.Life)
-		k.entries[e.Agent] = &kept{entry: *e, at: now - age, told: true}
+		age := min(max(clock.Millis(wall-e.At), 0), k.settings.FlowTTL)
+		k.entries[e.Agent] = &keptEntry{entry: *e, receivedAt: now - age, acknowledged: true}
 	}
 }
 
-// join goes over to the number of objects that the store has. What agents have told
-// this keeper may belong to another one of them then.
-func (k *Keeper) join(shards int) {
-	if shards <= k.shards {
+// adoptShardCount adopts the number of shards that the store has, if it is larger. The
+// entries that agents have sent to this keeper may belong to other shards then.
+func (k *Keeper) adoptShardCount(count int) {
+	if count <= k.shardCount {
 		return
 	}
-	k.shards = shards
+	k.shardCount = count
 	clear(k.changed)
 	for a, e := range k.entries {
-		if !e.told {
-			k.changed[k.shard(a)] = true
+		if !e.acknowledged {
+			k.changed[k.shardOf(a)] = true
 		}
 	}
 }
 
-// Hear takes a part of the entry of an agent's target.
-func (k *Keeper) Hear(now clock.Millis, wall int64, agent netip.AddrPort, c *wire.Checkpoint) error {
+// Receive adds a part of the entry of an agent's target.
+func (k *Keeper) Receive(now clock.Millis, wall int64, agent netip.AddrPort, c *wire.Checkpoint) error {
 	flows := Flows(c.Flows)
-	if err := flows.check(); err != nil {
+	if err := flows.validate(); err != nil {
 		return err
 	}
-	if c.Born == 0 || c.Number == 0 || c.Parts == 0 || c.Parts > mostParts || c.Part >= c.Parts {
+	if c.Born == 0 || c.Number == 0 || c.Parts == 0 || c.Parts > maxParts || c.Part >= c.Parts {
 		return ErrUnreadable
 	}
-	a := k.parts[agent]
-	if a == nil && len(k.parts) >= mostEntries {
+	a := k.assemblies[agent]
+	if a == nil && len(k.assemblies) >= maxEntries {
 		return nil
 	}
 	if a == nil || a.writer != c.Writer || a.number != c.Number || len(a.parts) != int(c.Parts) {
 		a = &assembly{writer: c.Writer, number: c.Number, parts: make([]Flows, c.Parts)}
-		k.parts[agent] = a
+		k.assemblies[agent] = a
 	}
 	if a.parts[c.Part] == nil {
 		a.parts[c.Part] = flows
-		a.have++
+		a.received++
 	}
-	if a.have == len(a.parts) {
-		delete(k.parts, agent)
-		k.take(now, Entry{
+	if a.received == len(a.parts) {
+		delete(k.assemblies, agent)
+		k.setEntry(now, Entry{
 			Agent: agent, Service: c.Service, Born: c.Born, Writer: c.Writer, At: wall, Flows: slices.Concat(a.parts...),
 		}, c.Number)
 	}
 	return nil
 }
 
-// take replaces what is known of a target by what its agent has said.
-func (k *Keeper) take(now clock.Millis, e Entry, number uint32) {
-	if k.entries[e.Agent] == nil && len(k.entries) >= mostEntries {
+// setEntry replaces the entry of a target by the one that its agent has sent.
+func (k *Keeper) setEntry(now clock.Millis, e Entry, number uint32) {
+	if k.entries[e.Agent] == nil && len(k.entries) >= maxEntries {
 		return
 	}
-	k.entries[e.Agent] = &kept{entry: e, number: number, at: now}
-	k.trim()
-	k.changed[k.shard(e.Agent)] = true
+	k.entries[e.Agent] = &keptEntry{entry: e, number: number, receivedAt: now}
+	k.trimFlows()
+	k.changed[k.shardOf(e.Agent)] = true
 }
 
-// trim keeps the flows of all targets within their bound.
-func (k *Keeper) trim() {
-	part := mostBytes / flowSize / len(k.entries)
+// trimFlows removes flows so that those of all targets stay within maxFlowBytes.
+func (k *Keeper) trimFlows() {
+	share := maxFlowBytes / flowSize / len(k.entries)
 	for _, e := range k.entries {
-		if e.entry.Flows.Len() > part {
-			e.entry.Flows = slices.Clone(e.entry.Flows.Last(part))
+		if e.entry.Flows.Len() > share {
+			e.entry.Flows = slices.Clone(e.entry.Flows.Last(share))
 		}
 	}
 }
 
-// Drop forgets the targets that have left as planned: their callers were told.
-func (k *Keeper) Drop(left func(agent netip.AddrPort) bool) {
-	maps.DeleteFunc(k.entries, func(a netip.AddrPort, _ *kept) bool { return left(a) })
-	maps.DeleteFunc(k.parts, func(a netip.AddrPort, _ *assembly) bool { return left(a) })
+// Remove removes the targets that have left as planned: their callers were notified.
+func (k *Keeper) Remove(left func(agent netip.AddrPort) bool) {
+	maps.DeleteFunc(k.entries, func(a netip.AddrPort, _ *keptEntry) bool { return left(a) })
+	maps.DeleteFunc(k.assemblies, func(a netip.AddrPort, _ *assembly) bool { return left(a) })
 }
 
-// Due returns the sheets that are to be written now.
-func (k *Keeper) Due(now clock.Millis) []Sheet {
-	if now < k.next || len(k.changed) == 0 {
+// Due returns the shards that are to be written now.
+func (k *Keeper) Due(now clock.Millis) []Shard {
+	if now < k.nextWrite || len(k.changed) == 0 {
 		return nil
 	}
-	k.forget(now)
-	k.resize()
-	var due []Sheet
+	k.removeExpired(now)
+	k.growShards()
+	var due []Shard
 	for _, i := range slices.Sorted(maps.Keys(k.changed)) {
-		due = append(due, k.sheet(i))
+		due = append(due, k.buildShard(i))
 	}
 	clear(k.changed)
 	return due
 }
 
-// forget drops the entries whose flows are older than a flow may be.
-func (k *Keeper) forget(now clock.Millis) {
-	maps.DeleteFunc(k.entries, func(_ netip.AddrPort, e *kept) bool {
-		return now.Sub(e.at) > k.settings.Life+clockSlack
+// removeExpired removes the entries whose flows are older than FlowTTL.
+func (k *Keeper) removeExpired(now clock.Millis) {
+	maps.DeleteFunc(k.entries, func(_ netip.AddrPort, e *keptEntry) bool {
+		return now.Sub(e.receivedAt) > k.settings.FlowTTL+maxClockSkew
 	})
 }
 
-// resize splits the entries over more objects if one would be too large.
-func (k *Keeper) resize() {
-	for k.shards < mostShards {
+// growShards spreads the entries over more shards if one would be too large.
+func (k *Keeper) growShards() {
+	for k.shardCount < maxShards {
 		fits := true
-		sizes := make([]int, k.shards)
+		sizes := make([]int, k.shardCount)
 		for a, e := range k.entries {
-			i := k.shard(a)
-			sizes[i] += e.entry.size()
-			fits = fits && sizes[i] <= k.settings.Value*fullPart/100
+			i := k.shardOf(a)
+			sizes[i] += e.entry.maxStoredSize()
+			fits = fits && sizes[i] <= k.settings.MaxValueBytes*splitPercent/100
 		}
 		if fits {
 			return
 		}
-		k.split(2 * k.shards)
+		k.setShardCount(2 * k.shardCount)
 	}
 }
 
-// split spreads the entries over that many objects, all of which are to be written.
-func (k *Keeper) split(shards int) {
-	k.shards = shards
-	for i := range shards {
+// setShardCount spreads the entries over count shards, all of which are to be written.
+func (k *Keeper) setShardCount(count int) {
+	k.shardCount = count
+	for i := range count {
 		k.changed[i] = true
 	}
 }
 
-func (k *Keeper) shard(agent netip.AddrPort) int {
-	return ShardOf(agent, k.shards)
+func (k *Keeper) shardOf(agent netip.AddrPort) int {
+	return ShardOf(agent, k.shardCount)
 }
 
-// ShardOf returns which of that many objects has a target's entry.
-func ShardOf(agent netip.AddrPort, shards int) int {
-	return int(xxh3.Hash(segment.AppendAddress(nil, agent)) % uint64(max(shards, 1)))
+// ShardOf returns which of count shards has a target's entry.
+func ShardOf(agent netip.AddrPort, count int) int {
+	return int(xxh3.Hash(segment.AppendAddress(nil, agent)) % uint64(max(count, 1)))
 }
 
-// sheet makes one object and notes what is in it.
-func (k *Keeper) sheet(shard int) Sheet {
-	s := Sheet{Shards: k.shards, Shard: shard}
+// buildShard builds one shard and records which entries it has.
+func (k *Keeper) buildShard(index int) Shard {
+	s := Shard{Count: k.shardCount, Index: index}
 	numbers := map[netip.AddrPort]uint32{}
 	size := 0
 	for _, a := range slices.SortedFunc(maps.Keys(k.entries), netip.AddrPort.Compare) {
 		e := k.entries[a]
-		if k.shard(a) != shard || size+e.entry.size() > k.settings.Value {
+		if k.shardOf(a) != index || size+e.entry.maxStoredSize() > k.settings.MaxValueBytes {
 			continue
 		}
-		size += e.entry.size()
+		size += e.entry.maxStoredSize()
 		s.Entries = append(s.Entries, e.entry)
 		numbers[a] = e.number
 	}
-	k.writing[shard] = numbers
+	k.writing[index] = numbers
 	return s
 }
 
-// Wrote notes that a sheet is in the store, and returns what is to be told to agents.
-func (k *Keeper) Wrote(shard int) []Acknowledgement {
-	k.failed = 0
+// WriteSucceeded records that a shard is in the store, and returns the acknowledgements
+// that are to be sent to agents.
+func (k *Keeper) WriteSucceeded(index int) []Acknowledgement {
+	k.failedWrites = 0
 	var all []Acknowledgement
-	for a, number := range k.writing[shard] {
+	for a, number := range k.writing[index] {
 		e := k.entries[a]
-		if e == nil || e.told || e.number != number {
+		if e == nil || e.acknowledged || e.number != number {
 			continue
 		}
-		e.told = true
-		all = append(all, Acknowledgement{Agent: a, Number: number, Pause: k.Pause()})
+		e.acknowledged = true
+		all = append(all, Acknowledgement{Agent: a, Number: number, WriteInterval: k.WriteInterval()})
 	}
-	delete(k.writing, shard)
+	delete(k.writing, index)
 	return all
 }
 
-// Failed notes that a sheet was not written: it is tried again, later each time.
-func (k *Keeper) Failed(shard int) {
-	k.failed++
-	k.changed[shard] = true
-	delete(k.writing, shard)
+// WriteFailed records that a shard was not written. The write is retried with a growing
+// delay.
+func (k *Keeper) WriteFailed(index int) {
+	k.failedWrites++
+	k.changed[index] = true
+	delete(k.writing, index)
 }
 
-// Rest notes that the sheets that were due are done with. jitter is a random number of
-// 0 to 1 that keeps the keepers of failure domains apart.
-func (k *Keeper) Rest(now clock.Millis, jitter float64) {
-	pause := k.Pause()
-	k.next = now + pause*3/4 + clock.Millis(jitter*float64(pause)/2)
+// ScheduleNext schedules the next writes after those that were due. jitter is a random
+// number from 0 to 1 that spreads the writes of the failure domains' keepers.
+func (k *Keeper) ScheduleNext(now clock.Millis, jitter float64) {
+	interval := k.WriteInterval()
+	k.nextWrite = now + interval*3/4 + clock.Millis(jitter*float64(interval)/2)
 }
 
-// Pause is the pause between two writes. It grows with the bytes and the objects that are to be written, and after failures.
-func (k *Keeper) Pause() clock.Millis {
+// WriteInterval returns the interval between two writes. It grows with the bytes and the
+// shards that are to be written, and after failures.
+func (k *Keeper) WriteInterval() clock.Millis {
 	size := 0
 	for _, e := range k.entries {
-		size += e.entry.size()
+		size += e.entry.maxStoredSize()
 	}
-	bytes := clock.Millis(size/max(len(k.entries), 1)) * clock.Second / bytesPerTarget
-	calls := clock.Millis(float64(k.shards*k.domains) / k.settings.Writes * float64(clock.Second))
-	pause := max(leastPause, bytes, calls)
-	return max(pause, min(leastPause<<min(k.failed, 8), mostPause)*clock.Millis(min(k.failed, 1)))
+	bytes := clock.Millis(size/max(len(k.entries), 1)) * clock.Second / writeBytesPerTarget
+	calls := clock.Millis(float64(k.shardCount*k.domainCount) / k.settings.WritesPerSecond * float64(clock.Second))
+	interval := max(minWriteInterval, bytes, calls)
+	return max(interval, min(minWriteInterval<<min(k.failedWrites, 8), maxRetryInterval)*clock.Millis(min(k.failedWrites, 1)))
 }
--- a/internal/connection/checkpoint/pack.go
+++ b/internal/connection/checkpoint/pack.go
@@ -12,16 +12,17 @@
 	"github.com/wagtailtray/wagtailtray/internal/request/segment"
 )
 
-// ackUnit is what acknowledgements are rounded to in the store, in bytes. A reset is
-// taken within 76,800 bytes of what its caller acknowledged last: half of the unit is
-// lost, and staleAck is left for what was acknowledged since.
+// ackUnit is the unit that acknowledgements are rounded to in the store, in bytes. A
+// caller accepts a reset within 76,800 bytes of its last acknowledgement: rounding takes
+// up to half of the unit, which leaves maxAckLag for what was acknowledged since.
 const ackUnit = 1 << 16
 
-// mostServiceName bounds the name of a service, in bytes.
-const mostServiceName = 256
+// maxServiceName bounds the name of a service, in bytes.
+const maxServiceName = 256
 
-// pack appends the layout of an entry in the store, whose calls are paid for by their
-// bytes as well: flows by listener, callers as differences, acknowledgements rounded.
+// pack appends an entry in the format of the store, whose calls are also paid for by
+// their bytes: flows grouped by listener, callers as differences, acknowledgements
+// rounded.
 func (e *Entry) pack(b []byte) []byte {
 	b = segment.AppendAddress(b, e.Agent)
 	b = binary.AppendUvarint(b, uint64(len(e.Service)))
@@ -45,7 +46,7 @@
 	b = binary.AppendUvarint(b, uint64(len(flows)))
 	last := uint64(0)
 	for i := range flows {
-		caller := callerNumber(flows[i].ID.Caller)
+		caller := callerToNumber(flows[i].ID.Caller)
 		b = binary.AppendUvarint(b, caller-last)
 		b = binary.BigEndian.AppendUint16(b, uint16(flows[i].Ack/ackUnit))
 		last = caller
@@ -53,30 +54,30 @@
 	return b
 }
 
-// callerNumber orders callers by address and port.
-func callerNumber(a netip.AddrPort) uint64 {
+// callerToNumber returns a number that orders callers by address and port.
+func callerToNumber(a netip.AddrPort) uint64 {
 	ip := a.Addr().As4()
 	return uint64(binary.BigEndian.Uint32(ip[:]))<<16 | uint64(a.Port())
 }
 
-func numberedCaller(n uint64) netip.AddrPort {
+func callerFromNumber(n uint64) netip.AddrPort {
 	var ip [4]byte
 	binary.BigEndian.PutUint32(ip[:], uint32(n>>16))
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(n))
 }
 
-// unpacker reads what pack has made. The first error stays.
+// unpacker reads what pack has written. It keeps the first error.
 type unpacker struct {
 	in  *bytes.Reader
 	err error
 }
 
-func (u *unpacker) number(most uint64) uint64 {
+func (u *unpacker) uvarint(limit uint64) uint64 {
 	if u.err != nil {
 		return 0
 	}
 	n, err := binary.ReadUvarint(u.in)
-	if err != nil || n > most {
+	if err != nil || n > limit {
 		u.err = errors.Join(ErrUnreadable, err)
 		return 0
 	}
@@ -100,31 +101,31 @@
 }
 
 const (
-	addressSize = 6
-	anyNumber   = 1<<64 - 1
-	mostCaller  = 1<<48 - 1
+	addressSize     = 6
+	maxNumber       = 1<<64 - 1
+	maxCallerNumber = 1<<48 - 1
 )
 
 // unpackEntry reads one entry.
 func unpackEntry(u *unpacker) Entry {
 	e := Entry{Agent: u.address()}
-	e.Service = string(u.bytes(int(u.number(mostServiceName))))
-	e.Born = u.number(anyNumber)
-	e.Writer = u.number(anyNumber)
-	e.At = int64(u.number(anyNumber))
-	for range u.number(mostFlows) {
+	e.Service = string(u.bytes(int(u.uvarint(maxServiceName))))
+	e.Born = u.uvarint(maxNumber)
+	e.Writer = u.uvarint(maxNumber)
+	e.At = int64(u.uvarint(maxNumber))
+	for range u.uvarint(maxFlows) {
 		listener := u.address()
 		last := uint64(0)
-		for range u.number(uint64(mostFlows - e.Flows.Len())) {
-			last += u.number(mostCaller)
+		for range u.uvarint(uint64(maxFlows - e.Flows.Len())) {
+			last += u.uvarint(maxCallerNumber)
 			ack := uint32(binary.BigEndian.Uint16(u.bytes(2)))*ackUnit + ackUnit/2
-			if last > mostCaller {
+			if last > maxCallerNumber {
 				u.err = ErrUnreadable
 			}
 			if u.err != nil {
 				return Entry{}
 			}
-			e.Flows = e.Flows.Add(Flow{ID: segment.Flow{Caller: numberedCaller(last), Listener: listener}, Ack: ack})
+			e.Flows = e.Flows.Append(Flow{ID: segment.Flow{Caller: callerFromNumber(last), Listener: listener}, Ack: ack})
 		}
 		if u.err != nil {
 			return Entry{}
--- /dev/null
+++ b/internal/connection/checkpoint/sender.go
@@ -0,0 +1,97 @@
+package checkpoint
+
+import (
+	"slices"
+
+	"github.com/wagtailtray/wagtailtray/internal/request/segment"
+	"github.com/wagtailtray/wagtailtray/pkg/clock"
+	"github.com/wagtailtray/wagtailtray/pkg/wire"
+)
+
+const (
+	// minSendInterval is the minimum interval between two entries of one agent:
+	// balancers write them no more often than every two seconds.
+	minSendInterval = clock.Second
+	// maxSendInterval bounds the interval that a keeper may request.
+	maxSendInterval = 2 * clock.Minute
+	// maxAckLag is how far a caller may acknowledge beyond what is stored: a caller
+	// accepts a reset within 76,800 bytes of its last acknowledgement.
+	maxAckLag = 30_000
+	// flowsPerPart limits a part to one frame.
+	flowsPerPart = 80
+)
+
+// Sender decides when an agent sends its entry to the keeper.
+type Sender struct {
+	// storedBorn and storedAcks are those of the last entry that is known to be in the
+	// store.
+	storedBorn uint64
+	storedAcks map[segment.Flow]uint32
+	// sent is the entry that was sent last, with its number.
+	sent         Entry
+	number       uint32
+	nextDue      clock.Millis
+	sendInterval clock.Millis
+}
+
+// NewSender returns a Sender that has sent nothing yet.
+func NewSender() *Sender {
+	return &Sender{storedAcks: map[segment.Flow]uint32{}, sendInterval: minSendInterval}
+}
+
+// Due reports whether the entry is to be checked now, and schedules the next check.
+func (s *Sender) Due(now clock.Millis) bool {
+	if now < s.nextDue {
+		return false
+	}
+	s.nextDue = now + s.sendInterval
+	return true
+}
+
+// NeedsSend reports whether an entry is to be sent. A flow that has ended is no reason
+// to send it: resetting that flow does no harm.
+func (s *Sender) NeedsSend(e *Entry) bool {
+	if len(e.Flows) > 0 && e.Born != s.storedBorn {
+		return true
+	}
+	for f := range e.Flows.All() {
+		if ack, ok := s.storedAcks[f.ID]; !ok || int32(f.Ack-ack) > maxAckLag {
+			return true
+		}
+	}
+	return false
+}
+
+// Parts splits an entry that is sent now. If there are too many flows, it has those that
+// were used last; flows are in the order of their last use.
+func (s *Sender) Parts(e *Entry) []*wire.Checkpoint {
+	s.sent = *e
+	s.sent.Flows = e.Flows.Last(maxFlows)
+	s.number++
+	var parts []*wire.Checkpoint
+	for flows := range slices.Chunk(s.sent.Flows, flowsPerPart*flowSize) {
+		parts = append(parts, &wire.Checkpoint{
+			Service: e.Service, Born: e.Born, Writer: e.Writer, Number: s.number,
+			Part: uint32(len(parts)), Flows: flows,
+		})
+	}
+	for _, p := range parts {
+		p.Parts = uint32(len(parts))
+	}
+	return parts
+}
+
+// Acknowledge records that an entry is in the store, and the keeper's write interval. It
+// reports whether the entry is the last one that was sent.
+func (s *Sender) Acknowledge(number uint32, writeInterval clock.Millis) bool {
+	if number != s.number {
+		return false
+	}
+	s.sendInterval = min(max(writeInterval/2, minSendInterval), maxSendInterval)
+	s.storedBorn = s.sent.Born
+	clear(s.storedAcks)
+	for f := range s.sent.Flows.All() {
+		s.storedAcks[f.ID] = f.Ack
+	}
+	return true
+}
--- a/internal/connection/checkpoint/verdict.go
+++ b/internal/connection/checkpoint/verdict.go
@@ -5,13 +5,15 @@
 )
 
 const (
-	// fewBeats is how many heartbeats a target that has just started has tried.
-	fewBeats = 6
-	// surely is how many heartbeats of an older target must agree.
-	surely = 2
-	// clockSlack is how much the clocks of two processes may differ for the age of
-	// an entry.
-	clockSlack = 30 * clock.Second
+	// maxStartupHeartbeats is up to how many attempted heartbeats a target counts as
+	// just started.
+	maxStartupHeartbeats = 6
+	// confirmingHeartbeats is how many heartbeats with the same start time confirm a
+	// target that may be an older one.
+	confirmingHeartbeats = 2
+	// maxClockSkew is how much the clocks of two processes may differ when the age
+	// of an entry is computed.
+	maxClockSkew = 30 * clock.Second
 )
 
 // Verdict is what an agent may conclude from an entry.
@@ -19,40 +21,40 @@
 
 // Verdicts.
 const (
-	// Wait means that too little is known of the target yet.
+	// Wait means that too little is known of the target so far.
 	Wait Verdict = iota
-	// Alive means that the flows are those of the target that is there.
+	// Alive means that the flows belong to the present target.
 	Alive
 	// Gone means that the target of the entry is gone, and its flows with it.
 	Gone
-	// Ignore means that nothing follows.
+	// Ignore means that the entry has no effect.
 	Ignore
 )
 
-// Target is what an agent knows of the target beside it.
+// Target is what an agent knows of its target.
 type Target struct {
 	Service string
-	// Born is its start, or zero if it was not heard yet.
+	// Born is its start time, or zero before its first heartbeat.
 	Born uint64
-	// Sequence counts the heartbeats that it tried, Beats those that were heard
-	// with this start.
-	Sequence uint64
-	Beats    int
-	// Absent tells that nobody listens at its address.
-	Absent bool
+	// Sequence counts the heartbeats that it attempted, Heartbeats those that were
+	// received with this start time.
+	Sequence   uint64
+	Heartbeats int
+	// NotListening is set if no process listens at its address.
+	NotListening bool
 }
 
-// Judge says what follows from an entry for the target that is there now. wall is the
-// clock of the VM in Unix milliseconds, and life how long a flow may live.
+// Evaluate returns what follows from an entry for the present target. wall is the
+// clock of the VM in Unix milliseconds, and flowTTL how long a flow may live.
 //
-// A heartbeat may be late and speak for a process that is gone. It proves that the
-// entry's target is gone if it comes from a later one that has just started, or if
-// another one follows it.
-func (e *Entry) Judge(wall int64, life clock.Millis, t Target) Verdict {
+// A heartbeat may be late and come from a process that is gone. It proves that the
+// entry's target is gone if it comes from a later target that has just started, or if
+// a second heartbeat follows.
+func (e *Entry) Evaluate(wall int64, flowTTL clock.Millis, t Target) Verdict {
 	switch {
-	case e.old(wall, life):
+	case e.expired(wall, flowTTL):
 		return Ignore
-	case t.Born == 0 && t.Absent:
+	case t.Born == 0 && t.NotListening:
 		return Gone
 	case t.Born == 0:
 		return Wait
@@ -60,15 +62,16 @@
 		return Alive
 	case t.Born == e.Born:
 		return Ignore
-	case t.Beats >= surely, t.Sequence <= fewBeats && t.Born > e.Born:
+	case t.Heartbeats >= confirmingHeartbeats, t.Sequence <= maxStartupHeartbeats && t.Born > e.Born:
 		return Gone
 	default:
 		return Wait
 	}
 }
 
-// old reports that an entry may name flows that are older than a flow may be.
-func (e *Entry) old(wall int64, life clock.Millis) bool {
+// expired reports whether an entry may name flows that are older than flowTTL, or was
+// received in the future.
+func (e *Entry) expired(wall int64, flowTTL clock.Millis) bool {
 	age := clock.Millis(wall - e.At)
-	return age > life+clockSlack || age < -clockSlack
+	return age > flowTTL+maxClockSkew || age < -maxClockSkew
 }
--- a/internal/connection/stream/hold.go
+++ b/internal/connection/stream/hold.go
@@ -100,7 +100,7 @@
 // NewHolder returns a Holder that knows nothing of its target yet.
 func NewHolder(now clock.Millis, settings HolderSettings) *Holder {
 	h := &Holder{settings: settings, started: now, working: map[segment.Flow]*held{}}
-	h.keeping = keeping{on: settings.Checkpoint, writer: checkpoint.NewWriter()}
+	h.keeping = keeping{on: settings.Checkpoint, writer: checkpoint.NewSender()}
 	h.flows, _ = simplelru.NewLRU(max(settings.Flows, 1), func(id segment.Flow, _ *held) { delete(h.working, id) })
 	h.denied, _ = simplelru.NewLRU[segment.Flow, struct{}](max(settings.Flows, 1), nil)
 	return h
--- a/internal/connection/stream/restore.go
+++ b/internal/connection/stream/restore.go
@@ -31,7 +31,7 @@
 	// keeper is the balancer that keeps the entries of this failure domain.
 	keeper netip.AddrPort
 	heard  clock.Millis
-	writer *checkpoint.Writer
+	writer *checkpoint.Sender
 }
 
 // entry returns the target's open flows, the longest unused first.
@@ -44,7 +44,7 @@
 	for _, id := range h.flows.Keys() {
 		f, ok := h.flows.Peek(id)
 		if ok && f.open && !f.guess && f.ended == 0 && f.opened < u.beat {
-			e.Flows = e.Flows.Add(checkpoint.Flow{ID: id, Ack: f.ack})
+			e.Flows = e.Flows.Append(checkpoint.Flow{ID: id, Ack: f.ack})
 		}
 	}
 	return e
@@ -59,7 +59,7 @@
 		return
 	}
 	e := h.entry()
-	if !k.writer.Changed(&e) {
+	if !k.writer.NeedsSend(&e) {
 		return
 	}
 	for _, part := range k.writer.Parts(&e) {
@@ -70,7 +70,7 @@
 // kept takes the keeper's word that an entry is in the store.
 func (h *Holder) kept(p *wire.Parcel) {
 	if p.Checkpoint != nil {
-		h.keeping.writer.Kept(p.Checkpoint.Number, clock.Millis(p.Checkpoint.Pause))
+		h.keeping.writer.Acknowledge(p.Checkpoint.Number, clock.Millis(p.Checkpoint.Pause))
 	}
 }
 
@@ -89,8 +89,8 @@
 	if k.past == nil {
 		return
 	}
-	v := k.past.Judge(int64(now)+k.at, h.settings.FlowLife, checkpoint.Target{
-		Service: h.settings.Service, Born: u.born, Sequence: u.sequence, Beats: u.beats, Absent: h.empty(now),
+	v := k.past.Evaluate(int64(now)+k.at, h.settings.FlowLife, checkpoint.Target{
+		Service: h.settings.Service, Born: u.born, Sequence: u.sequence, Heartbeats: u.beats, NotListening: h.empty(now),
 	})
 	switch v {
 	case checkpoint.Wait:
@@ -110,7 +110,7 @@
 // resetLost tells the callers of flows that were lost with an earlier target, some at
 // a time. A flow that this process knows was opened since.
 func (h *Holder) resetLost(now clock.Millis) {
-	due, rest := h.keeping.lost.Cut(resetsPerTick)
+	due, rest := h.keeping.lost.Split(resetsPerTick)
 	h.keeping.lost = rest
 	for l := range due.All() {
 		if f, ok := h.flows.Peek(l.ID); ok && !f.guess {
--- a/internal/connection/stream/restore_test.go
+++ b/internal/connection/stream/restore_test.go
@@ -23,7 +23,7 @@
 func left(flows int) *checkpoint.Entry {
 	e := &checkpoint.Entry{Service: "one", Born: 500, Writer: 9, At: testWall - 3000}
 	for i := range flows {
-		e.Flows = e.Flows.Add(checkpoint.Flow{ID: callerFlow(i), Ack: uint32(1000 + i)})
+		e.Flows = e.Flows.Append(checkpoint.Flow{ID: callerFlow(i), Ack: uint32(1000 + i)})
 	}
 	return e
 }
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -36,11 +36,11 @@
 	return o
 }
 
-func (w *world) sheet(data []byte) *checkpoint.Sheet {
+func (w *world) sheet(data []byte) *checkpoint.Shard {
 	if data == nil {
-		return &checkpoint.Sheet{Shards: 1}
+		return &checkpoint.Shard{Count: 1}
 	}
-	s := &checkpoint.Sheet{}
+	s := &checkpoint.Shard{}
 	if err := json.Unmarshal(data, s); err != nil {
 		w.fail("a sheet cannot be read: %v", err)
 	}
@@ -76,7 +76,7 @@
 // first one there. Two may think so for a moment.
 func (w *world) keeps(b *worldBalancer) {
 	s := b.steerer
-	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: 1 << 20, Life: worldLife, Writes: 10})
+	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{MaxValueBytes: 1 << 20, FlowTTL: worldLife, WritesPerSecond: 10})
 	b.keeper = k
 	seen, loaded := 0, false
 	var tick func()
@@ -93,7 +93,7 @@
 		case b.up && first:
 			seen = w.writes(b, k, seen)
 		case b.up && loaded:
-			k.Clear()
+			k.Reset()
 			loaded = false
 		}
 		s.SetKeeper(loaded)
@@ -124,16 +124,16 @@
 		switch {
 		case w.random.IntN(8) == 0:
 			w.after(clock.Millis(w.random.IntN(5000)), func() { o.write(known, data) })
-			k.Failed(sheet.Shard)
+			k.WriteFailed(sheet.Index)
 		case o.write(seen, data):
 			seen = o.revision
-			w.acknowledge(b, k.Wrote(sheet.Shard))
+			w.acknowledge(b, k.WriteSucceeded(sheet.Index))
 		default:
 			seen = o.revision
 			k.Load(w.now, int64(w.now), w.sheet(o.data))
-			k.Failed(sheet.Shard)
+			k.WriteFailed(sheet.Index)
 		}
-		k.Rest(w.now, w.random.Float64())
+		k.ScheduleNext(w.now, w.random.Float64())
 	}
 	return seen
 }
@@ -141,7 +141,7 @@
 func (w *world) acknowledge(b *worldBalancer, all []checkpoint.Acknowledgement) {
 	for _, a := range all {
 		w.sendAgent(b, Send{To: a.Agent, Parcel: &wire.Parcel{
-			Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: a.Number, Pause: uint32(a.Pause)},
+			Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: a.Number, Pause: uint32(a.WriteInterval)},
 		}})
 	}
 }
@@ -151,7 +151,7 @@
 	if !b.steerer.Keeper() {
 		return
 	}
-	if err := b.keeper.Hear(w.now, int64(w.now), from, c); err != nil {
+	if err := b.keeper.Receive(w.now, int64(w.now), from, c); err != nil {
 		w.fail("a checkpoint cannot be read: %v", err)
 	}
 }
--- a/internal/process/checkpoints/checkpoints.go
+++ b/internal/process/checkpoints/checkpoints.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return checkpoint.Entry{}, err
 	}
-	if shard := checkpoint.ShardOf(agent, sheet.Shards); shard > 0 {
+	if shard := checkpoint.ShardOf(agent, sheet.Count); shard > 0 {
 		if sheet, err = s.peek(ctx, shard); err != nil {
 			return checkpoint.Entry{}, err
 		}
@@ -77,31 +77,31 @@
 	return e, nil
 }
 
-func (s *Store) peek(ctx context.Context, shard int) (checkpoint.Sheet, error) {
+func (s *Store) peek(ctx context.Context, shard int) (checkpoint.Shard, error) {
 	o, err := s.backend.Peek(ctx, platform.Checkpoints, s.name(shard))
 	if err != nil {
-		return checkpoint.Sheet{}, err
+		return checkpoint.Shard{}, err
 	}
 	return decode(o)
 }
 
 // decode reads a sheet. The store's errors are its own; what is not a sheet is
 // checkpoint.ErrUnreadable or ErrFormat.
-func decode(o platform.Object) (checkpoint.Sheet, error) {
-	var sheet checkpoint.Sheet
+func decode(o platform.Object) (checkpoint.Shard, error) {
+	var sheet checkpoint.Shard
 	err := sheet.UnmarshalJSON(o.Spec)
 	return sheet, err
 }
 
 // Load reads one sheet as it is, for the next write. A missing one is
 // platform.ErrNotFound; one that cannot be read is replaced by that write.
-func (s *Store) Load(ctx context.Context, shard int) (checkpoint.Sheet, error) {
+func (s *Store) Load(ctx context.Context, shard int) (checkpoint.Shard, error) {
 	o, err := s.backend.Get(ctx, platform.Checkpoints, s.name(shard))
 	if errors.Is(err, platform.ErrNotFound) {
 		s.versions[shard] = 0
 	}
 	if err != nil {
-		return checkpoint.Sheet{}, err
+		return checkpoint.Shard{}, err
 	}
 	s.versions[shard] = o.Metadata.ResourceVersion
 	return decode(o)
@@ -109,7 +109,7 @@
 
 // Write replaces the sheet that was seen last. platform.ErrConflict means that another
 // one is there; it must be loaded first.
-func (s *Store) Write(ctx context.Context, sheet *checkpoint.Sheet) error {
+func (s *Store) Write(ctx context.Context, sheet *checkpoint.Shard) error {
 	o, err := s.write(ctx, sheet)
 	if errors.Is(err, platform.ErrExists) || errors.Is(err, platform.ErrNotFound) {
 		return errs.Combine(platform.ErrConflict, err)
@@ -117,12 +117,12 @@
 	if err != nil {
 		return err
 	}
-	s.versions[sheet.Shard] = o.Metadata.ResourceVersion
+	s.versions[sheet.Index] = o.Metadata.ResourceVersion
 	return nil
 }
 
-func (s *Store) write(ctx context.Context, sheet *checkpoint.Sheet) (platform.Object, error) {
-	name, version := s.name(sheet.Shard), s.versions[sheet.Shard]
+func (s *Store) write(ctx context.Context, sheet *checkpoint.Shard) (platform.Object, error) {
+	name, version := s.name(sheet.Index), s.versions[sheet.Index]
 	if version == 0 {
 		return s.backend.Create(ctx, platform.Checkpoints, name, sheet)
 	}
--- a/internal/process/checkpoints/checkpoints_test.go
+++ b/internal/process/checkpoints/checkpoints_test.go
@@ -80,8 +80,8 @@
 
 var agent = netip.MustParseAddrPort("10.0.0.1:7000")
 
-func sheet(born uint64) *checkpoint.Sheet {
-	return &checkpoint.Sheet{Shards: 1, Entries: []checkpoint.Entry{{Agent: agent, Service: "one", Born: born, Writer: 1}}}
+func sheet(born uint64) *checkpoint.Shard {
+	return &checkpoint.Shard{Count: 1, Entries: []checkpoint.Entry{{Agent: agent, Service: "one", Born: born, Writer: 1}}}
 }
 
 func wantBorn(t *testing.T, s *Store, want uint64) {
@@ -216,7 +216,7 @@
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
 			t.Fatal(err)
 		}
-		sheet.Shards, sheet.Shard = shards, shard
+		sheet.Count, sheet.Index = shards, shard
 		sheet.Entries = append(sheet.Entries, checkpoint.Entry{Agent: a, Born: uint64(i + 1)})
 		if err := s.Write(t.Context(), &sheet); err != nil {
 			t.Fatal(err)
--- a/internal/process/streambalancer/keep.go
+++ b/internal/process/streambalancer/keep.go
@@ -23,10 +23,10 @@
 type Sheets interface {
 	// Load reads one, or returns platform.ErrNotFound, checkpoint.ErrUnreadable or
 	// ErrFormat.
-	Load(ctx context.Context, shard int) (checkpoint.Sheet, error)
+	Load(ctx context.Context, shard int) (checkpoint.Shard, error)
 	// Write replaces the one that was loaded or written last. platform.ErrConflict
 	// means that another one is there.
-	Write(ctx context.Context, s *checkpoint.Sheet) error
+	Write(ctx context.Context, s *checkpoint.Shard) error
 }
 
 // keeps writes the checkpoints of this failure domain while this balancer is the one
@@ -68,7 +68,7 @@
 	b.mu.Lock()
 	b.steerer.SetKeeper(on)
 	if !on {
-		b.keeper.Clear()
+		b.keeper.Reset()
 	}
 	b.mu.Unlock()
 	b.deps.Log.Info().Str("event", "keeper").Bool("keeping", on).Send()
@@ -88,7 +88,7 @@
 func (b *Balancer) shards() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.keeper.Shards()
+	return b.keeper.ShardCount()
 }
 
 func (b *Balancer) loadSheet(ctx context.Context, shard int) bool {
@@ -121,8 +121,8 @@
 func (b *Balancer) writeSheets(ctx context.Context) {
 	b.mu.Lock()
 	now := b.deps.Clock.Now()
-	b.keeper.Drop(func(agent netip.AddrPort) bool { return b.steerer.Targets.Left(now, agent) })
-	b.keeper.SetDomains(b.peers.Domains(now))
+	b.keeper.Remove(func(agent netip.AddrPort) bool { return b.steerer.Targets.Left(now, agent) })
+	b.keeper.SetDomainCount(b.peers.Domains(now))
 	due := b.keeper.Due(now)
 	b.mu.Unlock()
 	for i := range due {
@@ -133,28 +133,28 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.keeper.Rest(b.deps.Clock.Now(), rand.Float64())
+	b.keeper.ScheduleNext(b.deps.Clock.Now(), rand.Float64())
 }
 
-func (b *Balancer) writeSheet(ctx context.Context, s *checkpoint.Sheet) {
+func (b *Balancer) writeSheet(ctx context.Context, s *checkpoint.Shard) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := b.deps.Sheets.Write(ctx, s)
 	if errors.Is(err, platform.ErrConflict) {
-		b.loadSheet(ctx, s.Shard)
+		b.loadSheet(ctx, s.Index)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
 		b.noCheckpoint(err, "a sheet cannot be written")
-		b.keeper.Failed(s.Shard)
+		b.keeper.WriteFailed(s.Index)
 		return
 	}
 	b.deps.Scope.Counter("checkpoints").Inc(1)
-	b.deps.Log.Debug().Str("event", "checkpoint").Int("shard", s.Shard).Int("targets", len(s.Entries)).Send()
-	for _, a := range b.keeper.Wrote(s.Shard) {
+	b.deps.Log.Debug().Str("event", "checkpoint").Int("shard", s.Index).Int("targets", len(s.Entries)).Send()
+	for _, a := range b.keeper.WriteSucceeded(s.Index) {
 		b.send(a.Agent, &wire.Parcel{Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{
-			Number: a.Number, Pause: uint32(a.Pause),
+			Number: a.Number, Pause: uint32(a.WriteInterval),
 		}})
 	}
 }
@@ -165,7 +165,7 @@
 	if !b.steerer.Keeper() || c == nil || !ok || t.Domain != b.settings.Domain {
 		return
 	}
-	if err := b.keeper.Hear(b.deps.Clock.Now(), time.Now().UnixMilli(), from, c); err != nil {
+	if err := b.keeper.Receive(b.deps.Clock.Now(), time.Now().UnixMilli(), from, c); err != nil {
 		b.malformed.Note("parcels", from, err)
 	}
 }
