--- a/internal/capacity/kept.go
+++ b/internal/capacity/kept.go
@@ -32,7 +32,7 @@
 
 // keep lets a keeper write a failure domain at a size once.
 func keep(s Size) kept {
-	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{MaxValueBytes: keptValue, FlowTTL: clock.Minute, WritesPerSecond: keptWrites})
+	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{MaxValueSize: keptValue, FlowTTL: clock.Minute, WritesPerSecond: keptWrites})
 	k.SetDomainCount(domains)
 	out := kept{targets: s.Targets / domains, flows: s.Flows / s.Targets}
 	next := 0
--- a/internal/connection/admission/admission.go
+++ b/internal/connection/admission/admission.go
@@ -1,18 +1,18 @@
-// Package admission bounds how many openings a target gets that has just started.
+// Package admission limits the rate of openings of a target that has just started.
 //
 // # The model
 //
-// A target that has just started bears a number of openings a second until it is as fast
-// as it will be. Any span of a second counts, and balancers do not know what the others
-// send, so the bound is held where all openings meet: by the agent beside the target, in
-// a Window. Balancers are told how much room is left, and go elsewhere before an opening
-// has to be handed back.
+// A target that has just started can handle only a limited number of openings a second
+// until it is warm. The limit applies to any period of a second, and balancers do not know
+// what the others send, so it is enforced where all openings arrive: by the target's
+// agent, in a Limiter. Balancers are told how many openings remain, and use other targets
+// before an opening has to be returned.
 //
 // # Usage
 //
-//	var w admission.Window
-//	if w.Room(now, rate) > 0 {
-//		w.Note(now) // and hand the opening to the target
+//	var l admission.Limiter
+//	if l.Remaining(now, rate) > 0 {
+//		l.Record(now) // and deliver the opening to the target
 //	}
 package admission
 
@@ -22,49 +22,49 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// span is the second that counts, with a little more: what left the agent within it may
-// arrive at the target a little closer together.
-const span = clock.Second + 50*clock.Millis(1)
+// window is a second, with 50 ms more: openings may arrive at the target closer together
+// than they left the agent.
+const window = clock.Second + 50*clock.Millis(1)
 
-// mostRate bounds the openings that are remembered, whatever rate a parcel names.
-const mostRate = 10_000
+// maxRate bounds the openings that are stored, whatever rate a parcel requests.
+const maxRate = 10_000
 
-// Window tells how much room openings leave of a rate in any span of a second. The zero value
-// has none.
-type Window struct {
+// Limiter is a sliding-window rate limiter. The zero value has no recorded openings.
+type Limiter struct {
 	admitted []clock.Millis
-	// blind is until when nothing is admitted, for what was admitted before is not known.
-	blind clock.Millis
+	// blockedUntil is until when no opening is admitted, because it is not known how many
+	// were admitted before.
+	blockedUntil clock.Millis
 }
 
-// Unknown notes that openings before this moment are not known: an earlier process may
-// have admitted as many as it might.
-func (w *Window) Unknown(now clock.Millis) {
-	w.blind = now + span
+// AssumeFull blocks openings for a window, because those before now are not known: an
+// earlier process may have admitted as many as the rate allows.
+func (l *Limiter) AssumeFull(now clock.Millis) {
+	l.blockedUntil = now + window
 }
 
-// Room returns how many openings more are admitted now, at a rate a second.
-func (w *Window) Room(now clock.Millis, rate int) int {
-	if now < w.blind {
+// Remaining returns how many more openings are admitted now, at a rate per second.
+func (l *Limiter) Remaining(now clock.Millis, rate int) int {
+	if now < l.blockedUntil {
 		return 0
 	}
-	w.forget(now)
-	return max(min(rate, mostRate)-len(w.admitted), 0)
+	l.removeExpired(now)
+	return max(min(rate, maxRate)-len(l.admitted), 0)
 }
 
-// Note counts an opening that was handed to the target.
-func (w *Window) Note(now clock.Millis) {
-	w.forget(now)
-	if len(w.admitted) < mostRate {
-		w.admitted = append(w.admitted, now)
+// Record records an opening that was delivered to the target.
+func (l *Limiter) Record(now clock.Millis) {
+	l.removeExpired(now)
+	if len(l.admitted) < maxRate {
+		l.admitted = append(l.admitted, now)
 	}
 }
 
-// forget drops what is out of the span. Time does not go back.
-func (w *Window) forget(now clock.Millis) {
+// removeExpired removes the openings before the window. Time does not go back.
+func (l *Limiter) removeExpired(now clock.Millis) {
 	out := 0
-	for out < len(w.admitted) && now.Sub(w.admitted[out]) > span {
+	for out < len(l.admitted) && now.Sub(l.admitted[out]) > window {
 		out++
 	}
-	w.admitted = slices.Delete(w.admitted, 0, out)
+	l.admitted = slices.Delete(l.admitted, 0, out)
 }
--- a/internal/connection/admission/admission_test.go
+++ b/internal/connection/admission/admission_test.go
@@ -13,18 +13,18 @@
 
 const testNow = 24 * clock.Hour
 
-// admit counts an opening if there is room for it, and reports whether there was.
-func admit(w *Window, now clock.Millis, rate int) bool {
-	if w.Room(now, rate) == 0 {
+// admit records an opening if it is admitted, and reports whether it was.
+func admit(w *Limiter, now clock.Millis, rate int) bool {
+	if w.Remaining(now, rate) == 0 {
 		return false
 	}
-	w.Note(now)
+	w.Record(now)
 	return true
 }
 
-// Two bursts lie around the turn of a second: the span that holds both counts.
-func TestSpansSlide(t *testing.T) {
-	var w Window
+// Two bursts lie on both sides of a full second: the window that holds both is limited.
+func TestWindowSlides(t *testing.T) {
+	var w Limiter
 	admitted := 0
 	for i := range 40 {
 		at := testNow + 900
@@ -38,42 +38,42 @@
 	if admitted != 17 {
 		t.Errorf("%d openings were admitted within 200 ms, want 17", admitted)
 	}
-	if w.Room(testNow+900+span, 17) != 0 || w.Room(testNow+901+span, 17) != 17 {
-		t.Error("the room does not come back a second after the burst")
+	if w.Remaining(testNow+900+window, 17) != 0 || w.Remaining(testNow+901+window, 17) != 17 {
+		t.Error("openings are not admitted again a second after the burst")
 	}
 }
 
-// Anybody may send an opening with any rate: what is remembered is bounded.
-func TestAnyRate(t *testing.T) {
-	var w Window
-	for range 2 * mostRate {
+// An opening may name any rate: the stored openings are bounded.
+func TestMemoryIsBounded(t *testing.T) {
+	var w Limiter
+	for range 2 * maxRate {
 		admit(&w, testNow, 1<<31)
 	}
-	if len(w.admitted) != mostRate || w.Room(testNow, 1<<31) != 0 {
-		t.Errorf("%d openings are remembered, and there is room for %d", len(w.admitted), w.Room(testNow, 1<<31))
+	if len(w.admitted) != maxRate || w.Remaining(testNow, 1<<31) != 0 {
+		t.Errorf("%d openings are stored, and %d remain", len(w.admitted), w.Remaining(testNow, 1<<31))
 	}
 }
 
-// An agent is started again while its target warms up: what the process before it has
-// admitted is not known, and counts as all that it might have.
-func TestUnknownBefore(t *testing.T) {
-	var w Window
-	w.Unknown(testNow)
+// An agent restarts while its target warms up. It does not know what the previous process
+// has admitted, and must assume the most that the rate allows.
+func TestAssumeFull(t *testing.T) {
+	var w Limiter
+	w.AssumeFull(testNow)
 	if admit(&w, testNow+clock.Second, 17) {
-		t.Error("an opening was admitted within a second of an unknown number")
+		t.Error("an opening was admitted within a second after an unknown number of openings")
 	}
-	if !admit(&w, testNow+span, 17) {
-		t.Error("no opening is admitted after it")
+	if !admit(&w, testNow+window, 17) {
+		t.Error("no opening is admitted after that")
 	}
 }
 
-// Openings come in any pattern: no span of a second holds more than the rate, and none
-// that fits is turned away for ever.
-func TestAnySpan(t *testing.T) {
+// Openings arrive in any pattern: no period of a second has more than the rate, and some
+// openings are admitted.
+func TestAnyWindow(t *testing.T) {
 	properties := gopter.NewProperties(nil)
-	properties.Property("no second holds more than the rate", prop.ForAll(func(seed uint64, rate int) bool {
+	properties.Property("no second has more openings than the rate", prop.ForAll(func(seed uint64, rate int) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
-		var w Window
+		var w Limiter
 		var at []clock.Millis
 		now := testNow
 		for range 500 {
--- a/internal/connection/checkpoint/keeper.go
+++ b/internal/connection/checkpoint/keeper.go
@@ -37,8 +37,8 @@
 
 // KeeperSettings are the settings of a Keeper.
 type KeeperSettings struct {
-	// MaxValueBytes is the size of the largest value of the store, in bytes.
-	MaxValueBytes int
+	// MaxValueSize is the size of the largest value of the store, in bytes.
+	MaxValueSize int
 	// FlowTTL is how long a flow may live.
 	FlowTTL clock.Millis
 	// WritesPerSecond is how many writes a second all keepers together may make.
@@ -226,7 +226,7 @@
 		for a, e := range k.entries {
 			i := k.shardOf(a)
 			sizes[i] += e.entry.maxStoredSize()
-			fits = fits && sizes[i] <= k.settings.MaxValueBytes*splitPercent/100
+			fits = fits && sizes[i] <= k.settings.MaxValueSize*splitPercent/100
 		}
 		if fits {
 			return
@@ -259,7 +259,7 @@
 	size := 0
 	for _, a := range slices.SortedFunc(maps.Keys(k.entries), netip.AddrPort.Compare) {
 		e := k.entries[a]
-		if k.shardOf(a) != index || size+e.entry.maxStoredSize() > k.settings.MaxValueBytes {
+		if k.shardOf(a) != index || size+e.entry.maxStoredSize() > k.settings.MaxValueSize {
 			continue
 		}
 		size += e.entry.maxStoredSize()
--- a/internal/connection/checkpoint/keeper_test.go
+++ b/internal/connection/checkpoint/keeper_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	testNow           = 24 * clock.Hour
-	testWall          = int64(1_000_000)
-	testFlowTTL       = clock.Minute
-	testMaxValueBytes = 1 << 20
+	testNow          = 24 * clock.Hour
+	testWall         = int64(1_000_000)
+	testFlowTTL      = clock.Minute
+	testMaxValueSize = 1 << 20
 )
 
 func testKeeper() *Keeper {
-	return NewKeeper(KeeperSettings{MaxValueBytes: testMaxValueBytes, FlowTTL: testFlowTTL, WritesPerSecond: 40})
+	return NewKeeper(KeeperSettings{MaxValueSize: testMaxValueSize, FlowTTL: testFlowTTL, WritesPerSecond: 40})
 }
 
 // receiveParts gives the parts of an agent's entry to a keeper.
@@ -223,7 +223,7 @@
 	due := k.Due(testNow)
 	for i := range due {
 		data, err := json.Marshal(due[i])
-		if err != nil || len(data) > testMaxValueBytes {
+		if err != nil || len(data) > testMaxValueSize {
 			t.Fatalf("a shard of %d bytes: %v", len(data), err)
 		}
 		written += len(data)
--- a/internal/connection/stream/hold.go
+++ b/internal/connection/stream/hold.go
@@ -81,7 +81,7 @@
 	// gate tells whether the failure domain is evacuated; window bounds what the target
 	// is handed while it is slow after its start, at rate.
 	gate   evacuation.Gate
-	window admission.Window
+	window admission.Limiter
 	rate   int
 	// told is the target's condition that balancers were told last.
 	told     wire.Condition
@@ -175,13 +175,13 @@
 		return wire.Cause_CAUSE_CLOSED
 	case h.gate.Closed:
 		return wire.Cause_CAUSE_EVACUATED
-	case warming && h.window.Room(now, rate) == 0:
+	case warming && h.window.Remaining(now, rate) == 0:
 		return wire.Cause_CAUSE_WARMING
 	case !h.upstream.outlier.admits(now):
 		return wire.Cause_CAUSE_TRIAL
 	}
 	if h.cold(now) {
-		h.window.Note(now)
+		h.window.Record(now)
 	}
 	return wire.Cause_CAUSE_NONE
 }
--- a/internal/connection/stream/report.go
+++ b/internal/connection/stream/report.go
@@ -78,7 +78,7 @@
 	u := &h.upstream
 	room := 0
 	if h.rate > 0 && h.cold(now) {
-		room = h.window.Room(now, h.rate) + 1
+		room = h.window.Remaining(now, h.rate) + 1
 	}
 	return &wire.Report{
 		Name: h.settings.Name, Domain: h.settings.Domain, Service: h.settings.Service,
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -76,7 +76,7 @@
 // first one there. Two may think so for a moment.
 func (w *world) keeps(b *worldBalancer) {
 	s := b.steerer
-	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{MaxValueBytes: 1 << 20, FlowTTL: worldLife, WritesPerSecond: 10})
+	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{MaxValueSize: 1 << 20, FlowTTL: worldLife, WritesPerSecond: 10})
 	b.keeper = k
 	seen, loaded := 0, false
 	var tick func()
--- a/internal/connection/stream/upstream.go
+++ b/internal/connection/stream/upstream.go
@@ -95,7 +95,7 @@
 		*u = upstream{}
 	}
 	if !u.known && !h.complete {
-		h.window.Unknown(now)
+		h.window.AssumeFull(now)
 	}
 	u.known, u.gone = true, false
 	u.born, u.sequence, u.draining = b.Born, b.Sequence, b.Draining
--- a/internal/process/streambalancer/surprise_test.go
+++ b/internal/process/streambalancer/surprise_test.go
@@ -106,7 +106,7 @@
 		manual.Add(testNow)
 		b := newBalancer(Settings{
 			Name: "b000", Domain: "d0", Parcels: peerAddress(0), FlowLife: clock.Minute,
-			Checkpoint: checkpoint.KeeperSettings{MaxValueBytes: 1 << 16, FlowTTL: clock.Minute, WritesPerSecond: 10},
+			Checkpoint: checkpoint.KeeperSettings{MaxValueSize: 1 << 16, FlowTTL: clock.Minute, WritesPerSecond: 10},
 		}, Deps{Codec: plain{}, Clock: manual, Log: zerolog.Nop(), Scope: tally.NoopScope}, 1)
 		b.link, b.callers = nowhere{t}, nowhere{t}
 		b.steerer.SetKeeper(seed%2 == 0)
