--- a/internal/connection/upstream/link.go
+++ b/internal/connection/upstream/link.go
@@ -10,13 +10,13 @@
 	"github.com/wagtailtray/wagtailtray/internal/connection/owner"
 )
 
-// ErrClosed is returned for a link that has ended.
+// ErrClosed is returned by Send after Close.
 var ErrClosed = errs.New("upstream: link closed")
 
 // Link is the socket of one flow.
 //
-// The system may give the descriptor's number to the next flow's socket. Every use
-// therefore holds the link's lock, and Close takes it before the number is given back.
+// The system may reuse the descriptor for the next flow's socket. Every use therefore
+// holds the link's lock, and Close holds it while it closes the descriptor.
 type Link struct {
 	mu     sync.Mutex
 	fd     int
@@ -31,7 +31,7 @@
 	return l.port
 }
 
-// Send hands one datagram to the upstream.
+// Send sends one datagram to the upstream.
 func (l *Link) Send(datagram []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,11 +39,11 @@
 		return ErrClosed
 	}
 	_, err := unix.Write(l.fd, datagram)
-	l.note(err)
+	l.countRefused(err)
 	return errs.Wrap(err)
 }
 
-// Close ends the link and frees its port.
+// Close closes the link and frees its port.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,19 +51,19 @@
 		return
 	}
 	l.closed = true
-	// Out of the table first: the number may be given again at once.
-	l.poller.forget(l)
+	// Remove the link first: the descriptor may be reused as soon as it is closed.
+	l.poller.remove(l)
 	_ = unix.Close(l.fd)
 }
 
-// drain reads what the upstream has sent.
-func (l *Link) drain(buffer []byte) {
-	for range maxReads {
+// readReady reads the datagrams that the upstream has sent.
+func (l *Link) readReady(buffer []byte) {
+	for range maxReadsPerEvent {
 		n, ok := l.read(buffer)
 		if !ok {
 			return
 		}
-		l.poller.pool.answer(l.flow, buffer[:n])
+		l.poller.pool.onAnswer(l.flow, buffer[:n])
 	}
 }
 
@@ -74,12 +74,12 @@
 		return 0, false
 	}
 	n, err := unix.Read(l.fd, buffer)
-	l.note(err)
+	l.countRefused(err)
 	return n, err == nil
 }
 
-// note counts an answer of the system that nobody listens at the upstream.
-func (l *Link) note(err error) {
+// countRefused counts errors which report that no socket listens at the upstream's port.
+func (l *Link) countRefused(err error) {
 	if errors.Is(err, unix.ECONNREFUSED) {
 		l.poller.pool.refused.Add(1)
 	}
--- a/internal/connection/upstream/pool.go
+++ b/internal/connection/upstream/pool.go
@@ -1,12 +1,12 @@
-// Package upstream speaks to the upstream beside an agent: one connected UDP
-// socket a flow, so that the upstream sees each flow as a peer of its own and
-// its answers need no further mark.
+// Package upstream sends datagrams to the upstream of an agent: with one connected
+// UDP socket for each flow, so that the upstream sees each flow as a peer of its
+// own and its answers need no flow identifier.
 //
 // # The model
 //
-// A Pool has a few pollers. Each waits on one epoll descriptor, itself watched
-// by the runtime's poller, so that neither a thread nor a goroutine waits for
-// each flow: an idle flow costs a descriptor and some 200 bytes.
+// A Pool has a few pollers. Each waits on one epoll descriptor, which the
+// runtime's poller watches, so that no flow needs a thread or a goroutine: an idle
+// flow costs a descriptor and some 200 bytes.
 //
 // # Usage
 //
@@ -14,8 +14,8 @@
 //	link, err := p.Dial(flow, 0)
 //	err = link.Send(datagram)
 //
-// onAnswer is called by a poller for each datagram of the upstream and must
-// not keep it.
+// A poller calls onAnswer for each datagram of the upstream. onAnswer must not
+// retain the datagram.
 package upstream
 
 import (
@@ -33,46 +33,46 @@
 
 const (
 	maxDatagram = 2048
-	// maxEvents is how many ready sockets a poller takes at once.
+	// maxEvents is how many ready sockets a poller handles per epoll_wait.
 	maxEvents = 64
-	// maxReads is how many datagrams are read of one socket before the
-	// others have their turn.
-	maxReads = 16
+	// maxReadsPerEvent is how many datagrams are read from one socket before
+	// the others are served.
+	maxReadsPerEvent = 16
 )
 
-// Answer takes one datagram of the upstream on a flow.
-type Answer func(f *owner.Flow, datagram []byte)
+// AnswerHandler handles one datagram of the upstream on a flow.
+type AnswerHandler func(f *owner.Flow, datagram []byte)
 
 // Pool opens links to one upstream.
 type Pool struct {
-	local   netip.Addr
-	remote  netip.AddrPort
-	family  int
-	answer  Answer
-	pollers []*poller
-	next    atomic.Uint32
-	wait    sync.WaitGroup
-	// refused counts datagrams that found nobody at the upstream's port.
+	local      netip.Addr
+	remote     netip.AddrPort
+	family     int
+	onAnswer   AnswerHandler
+	pollers    []*poller
+	nextPoller atomic.Uint32
+	running    sync.WaitGroup
+	// refused counts datagrams that no socket at the upstream's port accepted.
 	refused atomic.Uint64
 }
 
-// poller waits for the sockets of its links.
+// poller polls the sockets of its links.
 //
 // Lock order: Link.mu, then poller.mu.
 type poller struct {
 	pool *Pool
 	fd   int
 	file *os.File
-	raw  syscall.RawConn
+	conn syscall.RawConn
 	mu   sync.Mutex
-	// links finds the link of a ready descriptor.
+	// links has the links by descriptor.
 	links map[int32]*Link
 }
 
-// NewPool returns a pool whose links go to the upstream from a local address.
-// An invalid local address lets the system choose.
-func NewPool(local netip.Addr, upstream netip.AddrPort, workers int, answer Answer) (*Pool, error) {
-	p := &Pool{local: local, remote: upstream, family: unix.AF_INET6, answer: answer}
+// NewPool returns a pool whose links connect a local address to the upstream.
+// If the local address is invalid, the system chooses one.
+func NewPool(local netip.Addr, upstream netip.AddrPort, workers int, onAnswer AnswerHandler) (*Pool, error) {
+	p := &Pool{local: local, remote: upstream, family: unix.AF_INET6, onAnswer: onAnswer}
 	if upstream.Addr().Is4() {
 		p.family = unix.AF_INET
 	}
@@ -83,17 +83,17 @@
 			return nil, err
 		}
 		p.pollers = append(p.pollers, poller)
-		p.wait.Add(1)
+		p.running.Add(1)
 		go func() {
-			defer p.wait.Done()
+			defer p.running.Done()
 			poller.run()
 		}()
 	}
 	return p, nil
 }
 
-// sockaddr makes a new one for each call: the system call writes into it, so
-// workers that dial at once must not share one.
+// sockaddr returns a new Sockaddr for each call: the system call writes into it, so
+// workers that dial concurrently must not share one.
 func sockaddr(a netip.AddrPort) unix.Sockaddr {
 	if a.Addr().Is4() {
 		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	// A non-blocking descriptor makes the runtime watch it.
+	// The runtime watches only non-blocking descriptors.
 	if err := unix.SetNonblock(fd, true); err != nil {
 		_ = unix.Close(fd)
 		return nil, errs.Wrap(err)
@@ -117,38 +117,38 @@
 		_ = file.Close()
 		return nil, errs.Wrap(err)
 	}
-	return &poller{pool: p, fd: fd, file: file, raw: raw, links: map[int32]*Link{}}, nil
+	return &poller{pool: p, fd: fd, file: file, conn: raw, links: map[int32]*Link{}}, nil
 }
 
-// Refused returns how many datagrams found nobody at the upstream's port.
+// Refused returns how many datagrams no socket at the upstream's port accepted.
 func (p *Pool) Refused() uint64 {
 	return p.refused.Load()
 }
 
-// Close ends the pollers and all links.
+// Close stops the pollers and closes all links.
 func (p *Pool) Close() {
-	for _, l := range p.pollers {
-		l.mu.Lock()
-		links := make([]*Link, 0, len(l.links))
-		for _, link := range l.links {
+	for _, poller := range p.pollers {
+		poller.mu.Lock()
+		links := make([]*Link, 0, len(poller.links))
+		for _, link := range poller.links {
 			links = append(links, link)
 		}
-		l.mu.Unlock()
+		poller.mu.Unlock()
 		for _, link := range links {
 			link.Close()
 		}
-		_ = l.file.Close()
+		_ = poller.file.Close()
 	}
-	p.wait.Wait()
+	p.running.Wait()
 }
 
-// Dial opens the link of a flow from a local port; 0 takes any.
+// Dial opens the link of a flow from a local port; 0 selects any free port.
 func (p *Pool) Dial(f *owner.Flow, port uint16) (owner.Link, error) {
 	fd, err := p.socket(port)
 	if err != nil {
 		return nil, err
 	}
-	poller := p.pollers[int(p.next.Add(1))%len(p.pollers)]
+	poller := p.pollers[int(p.nextPoller.Add(1))%len(p.pollers)]
 	link := &Link{fd: fd, flow: f, poller: poller}
 	link.port, err = localPort(fd)
 	if err != nil {
@@ -191,42 +191,42 @@
 	case *unix.SockaddrInet6:
 		return uint16(a.Port), nil
 	default:
-		return 0, errs.New("upstream: socket of an unknown family")
+		return 0, errs.New("upstream: unknown socket address family")
 	}
 }
 
-func (l *poller) add(link *Link) error {
-	l.mu.Lock()
-	l.links[int32(link.fd)] = link
-	l.mu.Unlock()
+func (p *poller) add(link *Link) error {
+	p.mu.Lock()
+	p.links[int32(link.fd)] = link
+	p.mu.Unlock()
 	event := &unix.EpollEvent{Events: unix.EPOLLIN, Fd: int32(link.fd)}
-	if err := unix.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, link.fd, event); err != nil {
-		l.forget(link)
+	if err := unix.EpollCtl(p.fd, unix.EPOLL_CTL_ADD, link.fd, event); err != nil {
+		p.remove(link)
 		return errs.Wrap(err)
 	}
 	return nil
 }
 
-func (l *poller) forget(link *Link) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.links[int32(link.fd)] == link {
-		delete(l.links, int32(link.fd))
+func (p *poller) remove(link *Link) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.links[int32(link.fd)] == link {
+		delete(p.links, int32(link.fd))
 	}
 }
 
-func (l *poller) find(fd int32) *Link {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.links[fd]
+func (p *poller) find(fd int32) *Link {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.links[fd]
 }
 
-func (l *poller) run() {
+func (p *poller) run() {
 	events := make([]unix.EpollEvent, maxEvents)
 	buffer := make([]byte, maxDatagram)
 	for {
 		n := 0
-		err := l.raw.Read(func(fd uintptr) bool {
+		err := p.conn.Read(func(fd uintptr) bool {
 			n, _ = unix.EpollWait(int(fd), events, 0)
 			return n > 0
 		})
@@ -234,8 +234,8 @@
 			return
 		}
 		for _, e := range events[:n] {
-			if link := l.find(e.Fd); link != nil {
-				link.drain(buffer)
+			if link := p.find(e.Fd); link != nil {
+				link.readReady(buffer)
 			}
 		}
 	}
--- a/internal/connection/upstream/pool_test.go
+++ b/internal/connection/upstream/pool_test.go
@@ -10,9 +10,8 @@
 	"github.com/wagtailtray/wagtailtray/internal/connection/upstream"
 )
 
-// Several workers open flows at the same moment. Each flow's datagram arrives
-// at the upstream from a port of its own, and the upstream's answer comes back
-// on that flow.
+// Several workers open flows concurrently. Each flow's datagram must arrive at
+// the upstream from a port of its own, and the upstream's answer on that flow.
 func TestWorkersDialAtOnce(t *testing.T) {
 	const flows = 64
 	echo, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
