--- a/internal/connection/admission/admission_test.go
+++ b/internal/connection/admission/admission_test.go
@@ -14,55 +14,55 @@
 const testNow = 24 * clock.Hour
 
 // admit records an opening if it is admitted, and reports whether it was.
-func admit(w *Limiter, now clock.Millis, rate int) bool {
-	if w.Remaining(now, rate) == 0 {
+func admit(l *Limiter, now clock.Millis, rate int) bool {
+	if l.Remaining(now, rate) == 0 {
 		return false
 	}
-	w.Record(now)
+	l.Record(now)
 	return true
 }
 
 // Two bursts lie on both sides of a full second: the window that holds both is limited.
 func TestWindowSlides(t *testing.T) {
-	var w Limiter
+	var l Limiter
 	admitted := 0
 	for i := range 40 {
 		at := testNow + 900
 		if i >= 20 {
 			at = testNow + 1100
 		}
-		if admit(&w, at, 17) {
+		if admit(&l, at, 17) {
 			admitted++
 		}
 	}
 	if admitted != 17 {
 		t.Errorf("%d openings were admitted within 200 ms, want 17", admitted)
 	}
-	if w.Remaining(testNow+900+window, 17) != 0 || w.Remaining(testNow+901+window, 17) != 17 {
+	if l.Remaining(testNow+900+window, 17) != 0 || l.Remaining(testNow+901+window, 17) != 17 {
 		t.Error("openings are not admitted again a second after the burst")
 	}
 }
 
 // An opening may name any rate: the stored openings are bounded.
 func TestMemoryIsBounded(t *testing.T) {
-	var w Limiter
+	var l Limiter
 	for range 2 * maxRate {
-		admit(&w, testNow, 1<<31)
+		admit(&l, testNow, 1<<31)
 	}
-	if len(w.admitted) != maxRate || w.Remaining(testNow, 1<<31) != 0 {
-		t.Errorf("%d openings are stored, and %d remain", len(w.admitted), w.Remaining(testNow, 1<<31))
+	if len(l.admitted) != maxRate || l.Remaining(testNow, 1<<31) != 0 {
+		t.Errorf("%d openings are stored, and %d remain", len(l.admitted), l.Remaining(testNow, 1<<31))
 	}
 }
 
 // An agent restarts while its target warms up. It does not know what the previous process
 // has admitted, and must assume the most that the rate allows.
 func TestAssumeFull(t *testing.T) {
-	var w Limiter
-	w.AssumeFull(testNow)
-	if admit(&w, testNow+clock.Second, 17) {
+	var l Limiter
+	l.AssumeFull(testNow)
+	if admit(&l, testNow+clock.Second, 17) {
 		t.Error("an opening was admitted within a second after an unknown number of openings")
 	}
-	if !admit(&w, testNow+window, 17) {
+	if !admit(&l, testNow+window, 17) {
 		t.Error("no opening is admitted after that")
 	}
 }
@@ -73,12 +73,12 @@
 	properties := gopter.NewProperties(nil)
 	properties.Property("no second has more openings than the rate", prop.ForAll(func(seed uint64, rate int) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
-		var w Limiter
+		var l Limiter
 		var at []clock.Millis
 		now := testNow
 		for range 500 {
 			now += clock.Millis(random.IntN(1 + random.IntN(60)))
-			if admit(&w, now, rate) {
+			if admit(&l, now, rate) {
 				at = append(at, now)
 			}
 		}
--- a/internal/connection/checkpoint/keeper_test.go
+++ b/internal/connection/checkpoint/keeper_test.go
@@ -32,10 +32,10 @@
 
 func receiveFlows(t *testing.T, k *Keeper, now clock.Millis, agent, flows int) *Sender {
 	t.Helper()
-	w := NewSender()
+	sender := NewSender()
 	e := testEntry(agent, flows)
-	receiveParts(t, k, now, agent, w.Parts(&e))
-	return w
+	receiveParts(t, k, now, agent, sender.Parts(&e))
+	return sender
 }
 
 func flowsByAgent(s *Shard) map[int]int {
@@ -79,10 +79,10 @@
 // be acknowledged yet.
 func TestUpdateDuringWrite(t *testing.T) {
 	k := testKeeper()
-	w := receiveFlows(t, k, testNow, 1, 3)
+	sender := receiveFlows(t, k, testNow, 1, 3)
 	k.Due(testNow)
 	later := testEntry(1, 5)
-	receiveParts(t, k, testNow+10, 1, w.Parts(&later))
+	receiveParts(t, k, testNow+10, 1, sender.Parts(&later))
 	if acks := k.WriteSucceeded(0); len(acks) != 0 {
 		t.Errorf("acknowledged an entry that is not in the store: %+v", acks)
 	}
@@ -184,9 +184,9 @@
 // a complete entry is written.
 func TestPartsOutOfOrder(t *testing.T) {
 	k := testKeeper()
-	w := NewSender()
+	sender := NewSender()
 	first, second := testEntry(1, 200), testEntry(1, 170)
-	a, b := w.Parts(&first), w.Parts(&second)
+	a, b := sender.Parts(&first), sender.Parts(&second)
 	receiveParts(t, k, testNow, 1, []*wire.Checkpoint{a[2], a[0], a[0], b[1], a[1], b[1]})
 	if len(k.Due(testNow)) != 0 {
 		t.Fatal("an incomplete entry is written")
--- a/internal/connection/checkpoint/sender_test.go
+++ b/internal/connection/checkpoint/sender_test.go
@@ -17,16 +17,16 @@
 // Callers keep their flows for minutes. Nothing is sent until there is a new flow, or until
 // a caller has acknowledged so much more that it would ignore a reset.
 func TestSenderSendsChanges(t *testing.T) {
-	w := NewSender()
+	s := NewSender()
 	e := testEntry(1, 5)
-	if !w.NeedsSend(&e) {
+	if !s.NeedsSend(&e) {
 		t.Fatal("the first flows are not sent")
 	}
-	w.Parts(&e)
-	if !w.NeedsSend(&e) {
+	s.Parts(&e)
+	if !s.NeedsSend(&e) {
 		t.Fatal("not sent again although it was not acknowledged")
 	}
-	w.Acknowledge(1, 0)
+	s.Acknowledge(1, 0)
 	for _, c := range []struct {
 		name  string
 		entry Entry
@@ -40,7 +40,7 @@
 		{"another target", Entry{Born: e.Born + 1, Flows: e.Flows}, true},
 		{"another target without flows", Entry{Born: e.Born + 1}, false},
 	} {
-		if got := w.NeedsSend(&c.entry); got != c.want {
+		if got := s.NeedsSend(&c.entry); got != c.want {
 			t.Errorf("%s: sent %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -49,14 +49,14 @@
 // The acknowledgement of an entry arrives after a later one was sent. The flows that are
 // new in the later one must not count as stored.
 func TestLateAcknowledgement(t *testing.T) {
-	w := NewSender()
+	s := NewSender()
 	first, second := testEntry(1, 2), testEntry(1, 4)
-	w.Parts(&first)
-	w.Parts(&second)
-	if w.Acknowledge(1, 0) || !w.NeedsSend(&second) {
+	s.Parts(&first)
+	s.Parts(&second)
+	if s.Acknowledge(1, 0) || !s.NeedsSend(&second) {
 		t.Error("the acknowledgement of the first entry counts for the second")
 	}
-	if !w.Acknowledge(2, 0) || w.NeedsSend(&second) {
+	if !s.Acknowledge(2, 0) || s.NeedsSend(&second) {
 		t.Error("the acknowledgement of the second entry does not count")
 	}
 }
@@ -64,15 +64,15 @@
 // An agent's send interval follows the write interval of its keeper, which has to write for
 // hundreds of targets.
 func TestSendIntervalFollowsKeeper(t *testing.T) {
-	w := NewSender()
+	s := NewSender()
 	e := testEntry(1, 1)
-	w.Parts(&e)
+	s.Parts(&e)
 	for _, c := range []struct{ keeper, want clock.Millis }{
 		{0, minSendInterval}, {2 * clock.Second, minSendInterval}, {20 * clock.Second, 10 * clock.Second}, {clock.Hour, maxSendInterval},
 	} {
-		w.Acknowledge(1, c.keeper)
-		w.nextDue = 0
-		if !w.Due(testNow) || w.Due(testNow+c.want-1) || !w.Due(testNow+c.want) {
+		s.Acknowledge(1, c.keeper)
+		s.nextDue = 0
+		if !s.Due(testNow) || s.Due(testNow+c.want-1) || !s.Due(testNow+c.want) {
 			t.Errorf("keeper writes every %d: the next check is not %d later", c.keeper, c.want)
 		}
 	}
@@ -81,9 +81,9 @@
 // A target has more flows than fit an entry. The entry has those that were used last, in
 // parts that fit a frame.
 func TestParts(t *testing.T) {
-	w := NewSender()
+	s := NewSender()
 	e := testEntry(1, maxFlows+50)
-	parts := w.Parts(&e)
+	parts := s.Parts(&e)
 	total := 0
 	for i, p := range parts {
 		if int(p.Part) != i || int(p.Parts) != len(parts) || p.SizeVT() > 1400 {
--- a/internal/connection/checkpoint/verdict.go
+++ b/internal/connection/checkpoint/verdict.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// expired reports whether an entry may name flows that are older than flowTTL, or was
-// received in the future.
+// expired reports whether an entry may name flows that are older than flowTTL, or has
+// a time in the future.
 func (e *Entry) expired(wall int64, flowTTL clock.Millis) bool {
 	age := clock.Millis(wall - e.At)
 	return age > flowTTL+maxClockSkew || age < -maxClockSkew
--- a/internal/connection/owner/decide.go
+++ b/internal/connection/owner/decide.go
@@ -99,8 +99,8 @@
 // Take decides about one forwarded envelope, and rewrites it if it is to be
 // passed on.
 //
-// An envelope may name an earlier incarnation, whose sender has not learned of
-// the restart yet. This agent has its predecessor's ledger, so it answers for it.
+// An envelope names an earlier incarnation if its sender has not learned of the
+// restart yet. This agent has its predecessor's ledger, so it answers for it.
 // Without a ledger the predecessor's flows are lost, and the answer that no target
 // owns the flow is correct as well.
 //
@@ -108,14 +108,14 @@
 // openings would stay undecided until the restart is known everywhere. A later
 // incarnation means that a successor has the ledger, and another service means that
 // the address was reassigned.
-func (t *Table) Take(a Arrival, view *View, own LocalState, dialer Dialer) Decision {
+func (t *Table) Take(a Arrival, view *View, local LocalState, dialer Dialer) Decision {
 	e := a.Envelope
 	if e.Service != view.Set.Service || e.Target != view.Self || e.Incarnation > view.Incarnation {
 		return Decision{Reason: Misaddressed}
 	}
 	caller := envelope.Caller(e.Caller)
 	p := &packet{
-		now: a.Now, e: e, caller: caller, view: view, local: own,
+		now: a.Now, e: e, caller: caller, view: view, local: local,
 		dialer: dialer, random: a.Random, via: a.Via, shard: t.shard(caller),
 	}
 	p.shard.mu.Lock()
--- a/internal/connection/owner/idle_test.go
+++ b/internal/connection/owner/idle_test.go
@@ -27,7 +27,7 @@
 	}
 	g.now += clock.Second
 	if d := take(wire.Stage_STAGE_OWNED); d.ExpiredIdle != clock.Hour+1+clock.Second || d.Action != owner.Pass {
-		t.Errorf("idle for %d after expiry, action %v", d.ExpiredIdle, d.Action)
+		t.Errorf("reported as silent for %d, action %v", d.ExpiredIdle, d.Action)
 	}
 	if d := take(wire.Stage_STAGE_OWNED); d.ExpiredIdle != 0 {
 		t.Error("reported twice")
@@ -48,6 +48,6 @@
 	}
 	g.now += clock.Second
 	if d := a.table.Take(owner.Arrival{Now: g.now, Envelope: e(wire.Stage_STAGE_OWNED), Via: g.caller}, a.view, a.local, a); d.ExpiredIdle != 0 {
-		t.Errorf("idle for %d after expiry", d.ExpiredIdle)
+		t.Errorf("reported as expired after %d of silence", d.ExpiredIdle)
 	}
 }
--- a/internal/connection/owner/ledger.go
+++ b/internal/connection/owner/ledger.go
@@ -79,7 +79,7 @@
 	for _, r := range records {
 		s := t.shard(r.Caller)
 		s.mu.Lock()
-		if _, own := s.flows[r.Caller]; !own {
+		if _, owned := s.flows[r.Caller]; !owned {
 			s.records.Add(r.Caller, record{to: r.To, recordedAt: now.Sub(r.Age), searching: r.Searching})
 		}
 		s.mu.Unlock()
--- a/internal/connection/owner/loads.go
+++ b/internal/connection/owner/loads.go
@@ -117,7 +117,7 @@
 // Choose returns the target for a new flow: the one with the fewest flows per
 // slot. Cold targets get at most an even share scaled by their warmth, unless all
 // are cold. Targets of unknown load come last.
-func (l *PeerLoads) Choose(now clock.Millis, v *View, own LocalState, skip []target.ID, random float64) (*target.Candidate, bool) {
+func (l *PeerLoads) Choose(now clock.Millis, v *View, local LocalState, skip []target.ID, random float64) (*target.Candidate, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best, cold, unknown bestChoice
@@ -128,7 +128,7 @@
 			continue
 		}
 		rank := tieBreakRank(random, c.ID)
-		state, ok := l.candidateState(now, c, v, own, homes)
+		state, ok := l.candidateState(now, c, v, local, homes)
 		if !ok {
 			unknown.consider(c, 0, rank)
 			continue
@@ -157,9 +157,9 @@
 	accepting bool
 }
 
-func (l *PeerLoads) candidateState(now clock.Millis, c *target.Candidate, v *View, own LocalState, homes int) (candidateState, bool) {
+func (l *PeerLoads) candidateState(now clock.Millis, c *target.Candidate, v *View, local LocalState, homes int) (candidateState, bool) {
 	if c.ID == v.Self {
-		return candidateState{cost: cost(float64(own.Flows), own.Slots), warmth: own.Warmth, accepting: own.Accepting}, true
+		return candidateState{cost: cost(float64(local.Flows), local.Slots), warmth: local.Warmth, accepting: local.Accepting}, true
 	}
 	p, ok := l.peers[c.ID]
 	if !ok || p.incarnation != c.Incarnation || now.Sub(p.receivedAt) > l.maxAge {
--- a/internal/connection/owner/table.go
+++ b/internal/connection/owner/table.go
@@ -274,7 +274,7 @@
 	s := t.shard(caller)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, own := s.flows[caller]; own {
+	if _, owned := s.flows[caller]; owned {
 		return
 	}
 	s.searches.Remove(caller)
