--- a/internal/connection/stream/report.go
+++ b/internal/connection/stream/report.go
@@ -80,7 +80,7 @@
 	u := &tr.upstream
 	room := 0
 	if tr.warmingRate > 0 && tr.cold(now) {
-		room = tr.window.Room(now, tr.warmingRate) + 1
+		room = tr.window.Remaining(now, tr.warmingRate) + 1
 	}
 	return &wire.Report{
 		Name: tr.settings.Name, Domain: tr.settings.Domain, Service: tr.settings.Service,
--- a/internal/connection/stream/restore.go
+++ b/internal/connection/stream/restore.go
@@ -33,7 +33,7 @@
 	// keeper is the balancer that stores the checkpoints of this failure domain.
 	keeper        netip.AddrPort
 	keeperHeardAt clock.Millis
-	writer        *checkpoint.Writer
+	writer        *checkpoint.Sender
 }
 
 // checkpointEntry returns the target's open flows, least recently used first.
@@ -46,7 +46,7 @@
 	for _, id := range tr.flows.Keys() {
 		f, ok := tr.flows.Peek(id)
 		if ok && f.open && !f.unverified && f.endedAt == 0 && f.openedAt < u.lastHeartbeat {
-			e.Flows = e.Flows.Add(checkpoint.Flow{ID: id, Ack: f.ack})
+			e.Flows = e.Flows.Append(checkpoint.Flow{ID: id, Ack: f.ack})
 		}
 	}
 	return e
@@ -61,7 +61,7 @@
 		return
 	}
 	e := tr.checkpointEntry()
-	if !c.writer.Changed(&e) {
+	if !c.writer.NeedsSend(&e) {
 		return
 	}
 	for _, part := range c.writer.Parts(&e) {
@@ -72,7 +72,7 @@
 // handleKept handles the keeper's acknowledgement that a checkpoint is stored.
 func (tr *Tracker) handleKept(p *wire.Parcel) {
 	if p.Checkpoint != nil {
-		tr.checkpoints.writer.Kept(p.Checkpoint.Number, clock.Millis(p.Checkpoint.Pause))
+		tr.checkpoints.writer.Acknowledge(p.Checkpoint.Number, clock.Millis(p.Checkpoint.Pause))
 	}
 }
 
@@ -91,8 +91,8 @@
 	if c.previous == nil {
 		return
 	}
-	v := c.previous.Judge(int64(now)+c.clockOffset, tr.settings.FlowTTL, checkpoint.Target{
-		Service: tr.settings.Service, Born: u.born, Sequence: u.sequence, Beats: u.heartbeats, Absent: tr.noTarget(now),
+	v := c.previous.Evaluate(int64(now)+c.clockOffset, tr.settings.FlowTTL, checkpoint.Target{
+		Service: tr.settings.Service, Born: u.born, Sequence: u.sequence, Heartbeats: u.heartbeats, NotListening: tr.noTarget(now),
 	})
 	switch v {
 	case checkpoint.Wait:
@@ -112,7 +112,7 @@
 // resetLostFlows resets a bounded number of the flows that were lost with an earlier
 // target. It skips flows that this process knows, since they were opened later.
 func (tr *Tracker) resetLostFlows(now clock.Millis) {
-	due, rest := tr.checkpoints.lostFlows.Cut(maxResetsPerTick)
+	due, rest := tr.checkpoints.lostFlows.Split(maxResetsPerTick)
 	tr.checkpoints.lostFlows = rest
 	for l := range due.All() {
 		if f, ok := tr.flows.Peek(l.ID); ok && !f.unverified {
--- a/internal/connection/stream/store_test.go
+++ b/internal/connection/stream/store_test.go
@@ -36,11 +36,11 @@
 	return o
 }
 
-func (w *simulation) decodeSheet(data []byte) *checkpoint.Sheet {
+func (w *simulation) decodeSheet(data []byte) *checkpoint.Shard {
 	if data == nil {
-		return &checkpoint.Sheet{Shards: 1}
+		return &checkpoint.Shard{Count: 1}
 	}
-	s := &checkpoint.Sheet{}
+	s := &checkpoint.Shard{}
 	if err := json.Unmarshal(data, s); err != nil {
 		w.fail("cannot decode a sheet: %v", err)
 	}
@@ -76,7 +76,7 @@
 // first one there. Two balancers may do so for a moment.
 func (w *simulation) runKeeper(b *simBalancer) {
 	s := b.steerer
-	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: 1 << 20, Life: testFlowTTL, Writes: 10})
+	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{MaxValueSize: 1 << 20, FlowTTL: testFlowTTL, WritesPerSecond: 10})
 	b.keeper = k
 	seen, loaded := 0, false
 	var tick func()
@@ -93,7 +93,7 @@
 		case b.up && first:
 			seen = w.writeDueSheets(b, k, seen)
 		case b.up && loaded:
-			k.Clear()
+			k.Reset()
 			loaded = false
 		}
 		s.SetKeeper(loaded)
@@ -124,16 +124,16 @@
 		switch {
 		case w.random.IntN(8) == 0:
 			w.schedule(clock.Millis(w.random.IntN(5000)), func() { o.write(known, data) })
-			k.Failed(sheet.Shard)
+			k.WriteFailed(sheet.Index)
 		case o.write(seen, data):
 			seen = o.revision
-			w.acknowledge(b, k.Wrote(sheet.Shard))
+			w.acknowledge(b, k.WriteSucceeded(sheet.Index))
 		default:
 			seen = o.revision
 			k.Load(w.now, int64(w.now), w.decodeSheet(o.data))
-			k.Failed(sheet.Shard)
+			k.WriteFailed(sheet.Index)
 		}
-		k.Rest(w.now, w.random.Float64())
+		k.ScheduleNext(w.now, w.random.Float64())
 	}
 	return seen
 }
@@ -141,7 +141,7 @@
 func (w *simulation) acknowledge(b *simBalancer, all []checkpoint.Acknowledgement) {
 	for _, a := range all {
 		w.sendFromBalancer(b, Send{To: a.Agent, Parcel: &wire.Parcel{
-			Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: a.Number, Pause: uint32(a.Pause)},
+			Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{Number: a.Number, Pause: uint32(a.WriteInterval)},
 		}})
 	}
 }
@@ -151,7 +151,7 @@
 	if !b.steerer.Keeper() {
 		return
 	}
-	if err := b.keeper.Hear(w.now, int64(w.now), from, c); err != nil {
+	if err := b.keeper.Receive(w.now, int64(w.now), from, c); err != nil {
 		w.fail("cannot handle a checkpoint: %v", err)
 	}
 }
--- a/internal/connection/stream/tracker.go
+++ b/internal/connection/stream/tracker.go
@@ -82,7 +82,7 @@
 	// gate is closed while the failure domain is evacuated. window limits openings to
 	// warmingRate a second while the target is slow after its start.
 	gate        evacuation.Gate
-	window      admission.Window
+	window      admission.Limiter
 	warmingRate int
 	// reportedCondition is the target's condition last reported to balancers.
 	reportedCondition wire.Condition
@@ -101,7 +101,7 @@
 // NewTracker returns a Tracker without any state of its target.
 func NewTracker(now clock.Millis, settings TrackerSettings) *Tracker {
 	tr := &Tracker{settings: settings, startedAt: now, busyFlows: map[segment.Flow]*trackedFlow{}}
-	tr.checkpoints = checkpointState{enabled: settings.Checkpoint, writer: checkpoint.NewWriter()}
+	tr.checkpoints = checkpointState{enabled: settings.Checkpoint, writer: checkpoint.NewSender()}
 	tr.flows, _ = simplelru.NewLRU(max(settings.MaxFlows, 1), func(id segment.Flow, _ *trackedFlow) { delete(tr.busyFlows, id) })
 	tr.denied, _ = simplelru.NewLRU[segment.Flow, struct{}](max(settings.MaxFlows, 1), nil)
 	return tr
@@ -176,13 +176,13 @@
 		return wire.Cause_CAUSE_CLOSED
 	case tr.gate.Closed:
 		return wire.Cause_CAUSE_EVACUATED
-	case warming && tr.window.Room(now, rate) == 0:
+	case warming && tr.window.Remaining(now, rate) == 0:
 		return wire.Cause_CAUSE_WARMING
 	case !tr.upstream.outlier.admitFlow(now):
 		return wire.Cause_CAUSE_TRIAL
 	}
 	if tr.cold(now) {
-		tr.window.Note(now)
+		tr.window.Record(now)
 	}
 	return wire.Cause_CAUSE_NONE
 }
--- a/internal/connection/stream/upstream.go
+++ b/internal/connection/stream/upstream.go
@@ -96,7 +96,7 @@
 		*u = upstream{}
 	}
 	if !u.known && !tr.sawAllFlows {
-		tr.window.Unknown(now)
+		tr.window.AssumeFull(now)
 	}
 	u.known, u.gone = true, false
 	u.born, u.sequence, u.draining = b.Born, b.Sequence, b.Draining
--- a/internal/connection/upstream/pool_test.go
+++ b/internal/connection/upstream/pool_test.go
@@ -10,9 +10,8 @@
 	"github.com/wagtailtray/wagtailtray/internal/connection/upstream"
 )
 
-// Several workers open flows at the same moment. Each flow's datagram arrives
-// at the upstream from a port of its own, and the upstream's answer comes back
-// on that flow.
+// Several workers open flows concurrently. Each flow's datagram must arrive at
+// the upstream from a port of its own, and the upstream's answer on that flow.
 func TestWorkersDialAtOnce(t *testing.T) {
 	const flows = 64
 	echo, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -34,8 +33,8 @@
 	answered.Add(flows)
 	local := netip.MustParseAddr("127.0.0.1")
 	p, err := upstream.NewPool(local, echo.LocalAddr().(*net.UDPAddr).AddrPort(), 2, func(f *owner.Flow, datagram []byte) {
-		if len(datagram) != 1 || uint64(datagram[0]) != f.Opening {
-			t.Errorf("flow %d got %v", f.Opening, datagram)
+		if len(datagram) != 1 || uint64(datagram[0]) != f.OpeningNumber {
+			t.Errorf("flow %d got %v", f.OpeningNumber, datagram)
 		}
 		answered.Done()
 	})
@@ -45,7 +44,7 @@
 	defer p.Close()
 	for n := range flows {
 		go func() {
-			link, err := p.Dial(&owner.Flow{Opening: uint64(n)}, 0)
+			link, err := p.Dial(&owner.Flow{OpeningNumber: uint64(n)}, 0)
 			if err == nil {
 				err = link.Send([]byte{byte(n)})
 			}
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -102,7 +102,7 @@
 	flowLog        zerolog.Logger
 	count          counters
 	table          *owner.Table
-	loads          *owner.Loads
+	loads          *owner.PeerLoads
 	sealer         *envelope.Sealer
 	pool           *upstream.Pool
 	refuser        *quic.Refuser
@@ -133,7 +133,7 @@
 	unreachableSeen  atomic.Uint64
 	unreachableSince atomic.Int64
 	estimatorMu      sync.Mutex
-	estimator        *owner.Trust
+	estimator        *owner.FlowEstimator
 
 	mu       sync.Mutex
 	self     member.Member
@@ -254,9 +254,9 @@
 // initPacketPath creates the tables and sockets whose sizes depend on the
 // service's configuration.
 func (a *Agent) initPacketPath() error {
-	a.loads = owner.NewLoads(maxMissedDigests * a.service.Digest)
+	a.loads = owner.NewPeerLoads(maxMissedDigests * a.service.Digest)
 	a.table = owner.NewTable(a.limits(), a.loads)
-	a.estimator = owner.NewTrust(a.service.Idle)
+	a.estimator = owner.NewFlowEstimator(a.service.Idle)
 	pool, err := upstream.NewPool(a.settings.Local, a.settings.Upstream, a.settings.Workers, a.handleAnswer)
 	if err != nil {
 		return err
@@ -269,8 +269,8 @@
 // limits returns the limits of the flow table for the service's configuration.
 func (a *Agent) limits() owner.Limits {
 	return owner.Limits{
-		Flows: a.service.Flows, Memory: a.service.Flows * placementsPerFlow,
-		Idle: a.service.Idle, Opening: a.service.Opening,
+		MaxFlows: a.service.Flows, MaxPlacements: a.service.Flows * placementsPerFlow,
+		IdleTimeout: a.service.Idle, UnansweredTimeout: a.service.Opening,
 	}
 }
 
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -120,7 +120,7 @@
 	if a.self.State != member.Joining || a.accepting.Load() || a.Ready() == "" {
 		t.Errorf("state %s, accepting %t", a.self.State, a.accepting.Load())
 	}
-	c.Add(owner.NewsLag)
+	c.Add(owner.MaxPropagationDelay)
 	if a.refreshState() {
 		t.Error("state changed within the propagation delay")
 	}
@@ -152,7 +152,7 @@
 	a := newTestAgent(t, c)
 	a.service = config.Service{Drain: clock.Hour, Flows: 10}
 	a.version = 1
-	a.table = owner.NewTable(a.limits(), owner.NewLoads(1))
+	a.table = owner.NewTable(a.limits(), owner.NewPeerLoads(1))
 	a.drainRequested = true
 	a.updateState()
 	if a.drainExpired(c.Add(clock.Hour)) {
--- a/internal/process/agent/count.go
+++ b/internal/process/agent/count.go
@@ -39,7 +39,7 @@
 // logFlow logs an event of a flow, with the fields that do not change while it
 // is open.
 func (a *Agent) logFlow(event string, f *owner.Flow) {
-	a.flowLog.Debug().Str("event", event).Stringer("caller", f.Caller).Uint64("opening", f.Opening).
+	a.flowLog.Debug().Str("event", event).Stringer("caller", f.Caller).Uint64("opening", f.OpeningNumber).
 		Uint16("port", f.Link.Port()).
 		Int64("age", int64(a.deps.Clock.Now().Sub(f.Started))).Msg("flow")
 }
--- a/internal/process/agent/load.go
+++ b/internal/process/agent/load.go
@@ -52,9 +52,9 @@
 // localState returns the state of the agent's target: what the agent counts itself,
 // corrected by the upstream's report. The report lags and may be wrong, so it can
 // keep flows off the target but never attract them.
-func (a *Agent) localState() owner.Own {
+func (a *Agent) localState() owner.LocalState {
 	now := a.deps.Clock.Now()
-	o := owner.Own{Flows: a.table.Len(), Accepting: a.accepting.Load() && !a.upstreamUnreachable(now), Warmth: a.rampWarmth(now)}
+	o := owner.LocalState{Flows: a.table.Len(), Accepting: a.accepting.Load() && !a.upstreamUnreachable(now), Warmth: a.rampWarmth(now)}
 	o.Slots = a.slots.Load()
 	r := a.lastReport.Load()
 	if r == nil || now.Sub(r.receivedAt) > maxReportAge {
@@ -62,7 +62,7 @@
 	}
 	o.Slots, o.Busy = r.load.Slots, r.load.Busy
 	if r.load.Connections != nil {
-		since := int(a.table.LastNumber() - r.lastOpeningNumber)
+		since := int(a.table.LastOpeningNumber() - r.lastOpeningNumber)
 		o.Flows = a.openFlows(now, o.Flows, int(*r.load.Connections), since)
 	}
 	if r.load.Shedding {
@@ -109,7 +109,7 @@
 // queryLoad queries the load endpoint. This happens right before each digest, so
 // that peers learn of ended flows as early as possible.
 func (a *Agent) queryLoad(ctx context.Context, client *http.Client) {
-	lastOpeningNumber := a.table.LastNumber()
+	lastOpeningNumber := a.table.LastOpeningNumber()
 	l, err := fetchLoad(ctx, client, a.settings.Load)
 	if err != nil {
 		return
@@ -118,8 +118,8 @@
 	a.lastReport.Store(&loadReport{load: l, receivedAt: now, lastOpeningNumber: lastOpeningNumber})
 	if l.Connections != nil {
 		a.estimatorMu.Lock()
-		a.estimator.Report(now, a.table.Len(), int(*l.Connections), a.table.EndedFlows())
-		state := a.estimator.State(now)
+		a.estimator.Report(now, a.table.Len(), int(*l.Connections), a.table.ExpiredFlows())
+		state := a.estimator.ReportTrust(now)
 		a.estimatorMu.Unlock()
 		a.deps.Log.Debug().Str("event", "load").Str("report", state).Int("flows", a.table.Len()).
 			Uint32("connections", *l.Connections).Int("active", a.table.Active()).Msg("queried the load endpoint")
@@ -157,7 +157,7 @@
 	view := a.view.Load()
 	local := a.localState()
 	d := &wire.Digest{
-		Sequence: a.sequence.Add(1), Flows: uint32(local.Flows), Opening: uint32(a.table.Opening()),
+		Sequence: a.sequence.Add(1), Flows: uint32(local.Flows), Opening: uint32(a.table.UnansweredFlows()),
 		Busy: local.Busy, Slots: local.Slots, Warmth: local.Warmth, Accepting: local.Accepting,
 		Sender: view.Self, Incarnation: view.Incarnation,
 	}
@@ -185,7 +185,7 @@
 	if !a.addressed(e) {
 		return
 	}
-	if !a.loads.Note(now, e.Digest.Sender, e.Digest.Incarnation, e.Digest) {
+	if !a.loads.Update(now, e.Digest.Sender, e.Digest.Incarnation, e.Digest) {
 		a.count.digestsLate.Inc(1)
 		return
 	}
--- a/internal/process/agent/tunnel.go
+++ b/internal/process/agent/tunnel.go
@@ -111,7 +111,7 @@
 	}
 	view := a.view.Load()
 	arrival := owner.Arrival{Now: now, Envelope: e, Via: via, Random: rand.Float64()}
-	var local owner.Own
+	var local owner.LocalState
 	if e.Stage != wire.Stage_STAGE_OWNED {
 		// The local state is needed only to place or adopt a flow; getting
 		// it takes a lock that all workers share.
@@ -123,8 +123,8 @@
 			Service: e.Service, Target: view.Self, Caller: envelope.Caller(e.Caller).String(), Outcome: string(d.Reason),
 		})
 	}
-	if d.Outlived > 0 {
-		a.logOutlived(envelope.Caller(e.Caller), d.Outlived)
+	if d.ExpiredIdle > 0 {
+		a.logOutlived(envelope.Caller(e.Caller), d.ExpiredIdle)
 	}
 	a.execute(w, d, via)
 }
@@ -142,10 +142,10 @@
 		return
 	}
 	if e.Kind == wire.Kind_KIND_ENDED {
-		a.table.Ended(envelope.Caller(e.Caller), e.Home)
+		a.table.HandleEnded(envelope.Caller(e.Caller), e.Home)
 		return
 	}
-	a.table.Found(now, envelope.Caller(e.Caller), e.Home)
+	a.table.HandleFound(now, envelope.Caller(e.Caller), e.Home)
 }
 
 // addressed reports whether an envelope is for this target and incarnation,
@@ -245,12 +245,12 @@
 	if !ok {
 		return
 	}
-	a.returnToCaller(caller, 0, datagram, owner.Reply{Via: via})
+	a.returnToCaller(caller, 0, datagram, owner.ReturnPath{Via: via})
 }
 
 // handleAnswer handles a datagram of the upstream.
 func (a *Agent) handleAnswer(f *owner.Flow, datagram []byte) {
-	reply, ok := a.table.Answer(a.deps.Clock.Now(), f, datagram)
+	reply, ok := a.table.RecordAnswer(a.deps.Clock.Now(), f, datagram)
 	if !ok {
 		a.count.late.Inc(1)
 		return
@@ -259,11 +259,11 @@
 	if len(reply.Trace) > 0 {
 		reply.Trace = a.deps.Tracer.Hop(reply.Trace, "agent.answer", trace.Hop{Caller: f.Caller.String()})
 	}
-	a.returnToCaller(f.Caller, f.Opening, datagram, reply)
+	a.returnToCaller(f.Caller, f.OpeningNumber, datagram, reply)
 }
 
 // returnToCaller sends a datagram to a caller through a balancer.
-func (a *Agent) returnToCaller(caller netip.AddrPort, opening uint64, datagram []byte, reply owner.Reply) {
+func (a *Agent) returnToCaller(caller netip.AddrPort, opening uint64, datagram []byte, reply owner.ReturnPath) {
 	view := a.view.Load()
 	if view == nil || !reply.Via.IsValid() {
 		a.count.unsent.Inc(1)
@@ -294,5 +294,5 @@
 	if !ok {
 		return
 	}
-	a.table.Vias(func(v netip.AddrPort) bool { return v == balancer }, other)
+	a.table.ReplaceVia(func(v netip.AddrPort) bool { return v == balancer }, other)
 }
--- a/internal/process/agent/view.go
+++ b/internal/process/agent/view.go
@@ -55,7 +55,7 @@
 	a.slots.Store(uint32(service.Slots))
 	if a.table != nil {
 		a.table.SetLimits(a.limits())
-		a.loads.SetBound(maxMissedDigests * service.Digest)
+		a.loads.SetMaxAge(maxMissedDigests * service.Digest)
 	}
 }
 
@@ -120,7 +120,7 @@
 	if a.tookOver.Load() && a.predecessorKnown {
 		return false
 	}
-	return a.joinedAt == 0 || now.Sub(a.joinedAt) <= owner.NewsLag
+	return a.joinedAt == 0 || now.Sub(a.joinedAt) <= owner.MaxPropagationDelay
 }
 
 // refreshState updates the target's state, which ends the joining state once its
@@ -150,7 +150,7 @@
 	set := target.NewSet(a.service.Number, candidates)
 	v := a.observer.View(now, set, a.self.Incarnation, a.service.Resend)
 	if a.loads != nil {
-		a.loads.Keep(set)
+		a.loads.Retain(set)
 	}
 	a.view.Store(v)
 }
--- a/internal/process/streambalancer/checkpoints.go
+++ b/internal/process/streambalancer/checkpoints.go
@@ -23,10 +23,10 @@
 type CheckpointStore interface {
 	// Load reads the sheet of a shard, or returns platform.ErrNotFound,
 	// checkpoint.ErrUnreadable or ErrFormat.
-	Load(ctx context.Context, shard int) (checkpoint.Sheet, error)
+	Load(ctx context.Context, shard int) (checkpoint.Shard, error)
 	// Write replaces the sheet that was last loaded or written. platform.ErrConflict means
 	// that the stored sheet is a different one.
-	Write(ctx context.Context, s *checkpoint.Sheet) error
+	Write(ctx context.Context, s *checkpoint.Shard) error
 }
 
 // runKeeper writes the checkpoints of the local failure domain while this balancer is the
@@ -68,7 +68,7 @@
 	b.mu.Lock()
 	b.steerer.SetKeeper(on)
 	if !on {
-		b.keeper.Clear()
+		b.keeper.Reset()
 	}
 	b.mu.Unlock()
 	b.deps.Log.Info().Str("event", "keeper").Bool("keeping", on).Send()
@@ -88,7 +88,7 @@
 func (b *Balancer) shardCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.keeper.Shards()
+	return b.keeper.ShardCount()
 }
 
 func (b *Balancer) loadShard(ctx context.Context, shard int) bool {
@@ -121,8 +121,8 @@
 func (b *Balancer) writeDueShards(ctx context.Context) {
 	b.mu.Lock()
 	now := b.deps.Clock.Now()
-	b.keeper.Drop(func(agent netip.AddrPort) bool { return b.steerer.Targets.RecentlyLeft(now, agent) })
-	b.keeper.SetDomains(b.peers.DomainCount(now))
+	b.keeper.Remove(func(agent netip.AddrPort) bool { return b.steerer.Targets.RecentlyLeft(now, agent) })
+	b.keeper.SetDomainCount(b.peers.DomainCount(now))
 	due := b.keeper.Due(now)
 	b.mu.Unlock()
 	for i := range due {
@@ -133,28 +133,28 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.keeper.Rest(b.deps.Clock.Now(), rand.Float64())
+	b.keeper.ScheduleNext(b.deps.Clock.Now(), rand.Float64())
 }
 
-func (b *Balancer) writeShard(ctx context.Context, s *checkpoint.Sheet) {
+func (b *Balancer) writeShard(ctx context.Context, s *checkpoint.Shard) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := b.deps.Checkpoints.Write(ctx, s)
 	if errors.Is(err, platform.ErrConflict) {
-		b.loadShard(ctx, s.Shard)
+		b.loadShard(ctx, s.Index)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
 		b.reportCheckpointError(err, "writing a checkpoint sheet failed")
-		b.keeper.Failed(s.Shard)
+		b.keeper.WriteFailed(s.Index)
 		return
 	}
 	b.deps.Scope.Counter("checkpoints").Inc(1)
-	b.deps.Log.Debug().Str("event", "checkpoint").Int("shard", s.Shard).Int("targets", len(s.Entries)).Send()
-	for _, a := range b.keeper.Wrote(s.Shard) {
+	b.deps.Log.Debug().Str("event", "checkpoint").Int("shard", s.Index).Int("targets", len(s.Entries)).Send()
+	for _, a := range b.keeper.WriteSucceeded(s.Index) {
 		b.send(a.Agent, &wire.Parcel{Verb: wire.Verb_VERB_KEPT, Checkpoint: &wire.Checkpoint{
-			Number: a.Number, Pause: uint32(a.Pause),
+			Number: a.Number, Pause: uint32(a.WriteInterval),
 		}})
 	}
 }
@@ -165,7 +165,7 @@
 	if !b.steerer.Keeper() || c == nil || !ok || t.Domain != b.settings.Domain {
 		return
 	}
-	if err := b.keeper.Hear(b.deps.Clock.Now(), time.Now().UnixMilli(), from, c); err != nil {
+	if err := b.keeper.Receive(b.deps.Clock.Now(), time.Now().UnixMilli(), from, c); err != nil {
 		b.malformed.Note("parcels", from, err)
 	}
 }
--- a/internal/process/streambalancer/random_parcels_test.go
+++ b/internal/process/streambalancer/random_parcels_test.go
@@ -107,7 +107,7 @@
 		manual.Add(testNow)
 		b := newBalancer(Settings{
 			Name: "b000", Domain: "d0", Parcels: peerAddress(0), FlowTTL: clock.Minute,
-			Checkpoint: checkpoint.KeeperSettings{Value: 1 << 16, Life: clock.Minute, Writes: 10},
+			Checkpoint: checkpoint.KeeperSettings{MaxValueSize: 1 << 16, FlowTTL: clock.Minute, WritesPerSecond: 10},
 		}, Deps{Codec: fakeCodec{}, Clock: manual, Log: zerolog.Nop(), Scope: tally.NoopScope}, 1)
 		b.parcelSender, b.callerWriter = discardSender{t}, discardSender{t}
 		b.steerer.SetKeeper(seed%2 == 0)
