--- a/internal/capacity/approvals.go
+++ b/internal/capacity/approvals.go
@@ -67,16 +67,16 @@
 
 // lossy loses calls: one half of them before they run, the other half after.
 type lossy struct {
-	balancer.Caller
+	balancer.ControlClient
 	share float64
 }
 
 func (l *lossy) Call(ctx context.Context, to netip.AddrPort, m control.Method, request, reply any) error {
 	if rand.Float64() >= l.share {
-		return l.Caller.Call(ctx, to, m, request, reply)
+		return l.ControlClient.Call(ctx, to, m, request, reply)
 	}
 	if rand.IntN(2) == 0 {
-		_ = l.Caller.Call(ctx, to, m, request, reply)
+		_ = l.ControlClient.Call(ctx, to, m, request, reply)
 	}
 	select {
 	case <-ctx.Done():
@@ -142,7 +142,7 @@
 	done := map[string]bool{}
 	for i, b := range f.balancers {
 		domain := domainOf(i)
-		if !done[domain] && b.Relays() {
+		if !done[domain] && b.IsRelay() {
 			done[domain] = true
 			b.Kill()
 			f.dead[i] = true
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -180,27 +180,27 @@
 }
 
 func (f *fleet) startOne(ctx context.Context, i int, peers []netip.AddrPort) error {
-	var caller balancer.Caller
+	var caller balancer.ControlClient
 	if f.lost > 0 {
 		client, err := control.NewClient(f.ring)
 		if err != nil {
 			return err
 		}
-		caller = &lossy{Caller: client, share: f.lost}
+		caller = &lossy{ControlClient: client, share: f.lost}
 	}
 	b, err := balancer.New(balancer.Settings{
 		Name: fmt.Sprintf("balancer-%03d", i), Domain: domainOf(i), Control: any0, Tunnel: local,
 		Ports: 1, Peers: peers, Workers: 1, MTU: 1500, Limits: target.Limits{Hints: 64, Pending: 64, Walks: 1},
 	}, balancer.Deps{
 		Ring: f.ring, Store: f.store, Clock: clock.System(), Log: zerolog.New(&f.warnings).Level(zerolog.WarnLevel), Scope: tally.NoopScope, Listen: noEdges,
-		Caller: caller, OnVersion: func(v uint64) { f.saw(i, v) },
+		ControlClient: caller, OnVersion: func(v uint64) { f.saw(i, v) },
 	})
 	if err != nil {
 		return err
 	}
 	f.balancers[i] = b
 	if f.state != nil {
-		b.Fill(f.state, f.targets)
+		b.Preload(f.state, f.targets)
 	}
 	return b.Start(ctx)
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -206,7 +206,7 @@
 		if err != nil {
 			return nil, err
 		}
-		b.Fill(state(services, 1), targets(n, services))
+		b.Preload(state(services, 1), targets(n, services))
 		return b, nil
 	})
 }
@@ -217,7 +217,7 @@
 		if err != nil {
 			return nil, err
 		}
-		b.Fill(state(n, 1), nil)
+		b.Preload(state(n, 1), nil)
 		return b, nil
 	})
 }
@@ -229,7 +229,7 @@
 		if b, err = newBalancer(true); err != nil {
 			return nil, err
 		}
-		b.Fill(state(n, 1), nil)
+		b.Preload(state(n, 1), nil)
 		return b, nil
 	})
 	if err != nil {
@@ -246,7 +246,7 @@
 	if err != nil {
 		return 0, err
 	}
-	b.Fill(state(services, 1), targets(known, services))
+	b.Preload(state(services, 1), targets(known, services))
 	return spent(func() error {
 		for i := range n {
 			m := targetRecord(i, services)
@@ -317,7 +317,7 @@
 	for i := range states {
 		states[i] = state(n, uint64(i+1))
 	}
-	b.Fill(states[0], nil)
+	b.Preload(states[0], nil)
 	t, err := spent(func() error {
 		for i := range times {
 			data, err := json.Marshal(config.Diff(states[i], states[i+1]))
--- a/internal/process/agent/handle.go
+++ b/internal/process/agent/handle.go
@@ -14,18 +14,18 @@
 	case control.Ping:
 		return &wire.Empty{}, nil
 	case control.Keep:
-		r, err := control.Read[wire.Keep](params)
+		r, err := control.DecodeParams[wire.Keep](params)
 		if err != nil {
 			return nil, err
 		}
 		return &wire.Empty{}, a.keep(r)
 	case control.Take:
-		r, err := control.Read[wire.Take](params)
+		r, err := control.DecodeParams[wire.Take](params)
 		if err != nil {
 			return nil, err
 		}
 		return a.giveLedger(r), nil
 	default:
-		return nil, control.ErrMethod
+		return nil, control.ErrUnknownMethod
 	}
 }
--- a/internal/process/agent/start_test.go
+++ b/internal/process/agent/start_test.go
@@ -24,7 +24,7 @@
 }
 
 func (c *contact) Handle(_ context.Context, _ control.Method, params json.RawMessage) (any, error) {
-	r, err := control.Read[wire.Announce](params)
+	r, err := control.DecodeParams[wire.Announce](params)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/process/balancer/balancer.go
+++ b/internal/process/balancer/balancer.go
@@ -1,17 +1,18 @@
-// Package balancer is the process that takes callers' datagrams from the
-// fabric and brings them to the targets' agents, and the answers back.
+// Package balancer is the process that receives callers' datagrams from the
+// fabric, forwards them to the targets' agents, and returns the answers.
 //
 // # The model
 //
-// A balancer holds nothing that a flow depends on. Its packet path reads two
-// things: a snapshot of the targets of each service, and the hints, a soft
-// memory of who owns which flow. Its control path keeps the configuration and
-// the members up to date with a few neighbours and replaces the snapshot.
+// A balancer keeps no state that a flow depends on. Its packet path reads two
+// structures: a snapshot of the targets of each service, and the hints, a
+// soft-state cache of flow owners. Its control path synchronizes the
+// configuration and the members with a few neighbours and replaces the
+// snapshot.
 //
-// Life spans, from short to long: a worker's buffers live for a datagram; an
-// edge (the socket of one service) lives as long as the service has its
-// address; the snapshot lives until the next change; the rest lives as long as
-// the process.
+// Lifetimes, from short to long: a worker's buffers are reused for each
+// datagram; an edge (the socket of one service) lives as long as the service
+// has its address; the snapshot lives until the next change; the rest lives as
+// long as the process.
 //
 // Lock order: Balancer.mu, then the locks of tunnels and edges, then a shard of
 // the hints. The packet path never takes Balancer.mu.
@@ -21,7 +22,7 @@
 //	b, err := balancer.New(settings, deps)
 //	err = b.Start(ctx)
 //	...
-//	b.Stop(ctx) // planned: announces the leave, serves on, then ends
+//	b.Stop(ctx) // planned: announces the leave, keeps serving, then ends
 package balancer
 
 import (
@@ -49,28 +50,29 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Settings are what a balancer is told at start.
+// Settings configure a balancer.
 type Settings struct {
 	Name   string
 	Domain string
-	// Control is where control calls are taken. Port 0 takes any.
+	// Control is the address of the control server. Port 0 picks a free one.
 	Control netip.AddrPort
 	// Tunnel is the address of the sockets towards the agents, Ports their
-	// number. Several let a balancer leave a path that forgot it.
+	// number. With several, a balancer can leave a path that has lost track
+	// of a pair of ports.
 	Tunnel netip.Addr
 	Ports  int
-	// Edge replaces the address of every service, for a fabric that
-	// rewrites destinations. An invalid one binds the service's own.
+	// Edge, if valid, is bound instead of the address of each service, for
+	// a fabric that rewrites destinations.
 	Edge netip.Addr
 	// Peers are control addresses of balancers to join through.
 	Peers   []netip.AddrPort
 	Workers int
-	// MTU of the path to the agents, and of what it leaves to an envelope.
+	// MTU is that of the path to the agents; it bounds the size of an envelope.
 	MTU    int
 	Limits target.Limits
 }
 
-// Deps are what a balancer works with.
+// Deps are the dependencies of a balancer.
 type Deps struct {
 	Ring   key.Ring
 	Store  platform.Store
@@ -78,27 +80,27 @@
 	Log    zerolog.Logger
 	Scope  tally.Scope
 	Tracer *trace.Tracer
-	// Listen opens a service's socket towards callers; nil opens a UDP one.
+	// Listen opens a service's socket towards callers; nil opens a UDP socket.
 	Listen func(netip.AddrPort) (*net.UDPConn, error)
-	// Caller makes the calls; nil makes a control.Client.
-	Caller Caller
-	// OnVersion is told of each version that comes into force; may be nil.
+	// ControlClient makes the control calls; nil means a new control.Client.
+	ControlClient ControlClient
+	// OnVersion is called with each version that takes effect; may be nil.
 	OnVersion func(uint64)
 }
 
-// Caller makes calls to other processes, as control.Client does.
-type Caller interface {
+// ControlClient makes calls to other processes; control.Client implements it.
+type ControlClient interface {
 	Call(ctx context.Context, to netip.AddrPort, m control.Method, request, reply any) error
 	Drop(to netip.AddrPort)
 	Close()
 }
 
-// snapshot is what the packet path reads. It is immutable.
+// snapshot is the immutable state that the packet path reads.
 type snapshot struct {
 	sets map[uint32]*target.Set
 }
 
-// Balancer is one balancer.
+// Balancer is one balancer process.
 type Balancer struct {
 	settings Settings
 	deps     Deps
@@ -108,35 +110,35 @@
 	snapshot atomic.Pointer[snapshot]
 	tunnels  []*tunnel
 	paths    target.Paths
-	// answers is the edges as the packet path sees them.
-	answers atomic.Pointer[map[uint32]*edge]
+	// publishedEdges is the copy of edges that the packet path reads.
+	publishedEdges atomic.Pointer[map[uint32]*edge]
 
-	mu     sync.Mutex
-	book   *spread.Book
-	table  *member.Table
-	self   member.Member
-	heard  map[member.Key]*contact
-	byBeat map[beaten]member.Key
-	edges  map[uint32]*edge
-	// balancersChanged and serviceChanged count changes of members.
-	balancersChanged uint64
-	serviceChanged   map[string]uint64
-	next             int
-	ticked           clock.Millis
-	watch            context.CancelFunc
+	mu         sync.Mutex
+	book       *spread.Book
+	table      *member.Table
+	self       member.Member
+	tracked    map[member.Key]*trackedTarget
+	targetKeys map[heartbeatKey]member.Key
+	edges      map[uint32]*edge
+	// balancerChanges and serviceChanges count changes of members.
+	balancerChanges uint64
+	serviceChanges  map[string]uint64
+	nextNeighbour   int
+	lastTick        clock.Millis
+	cancelWatch     context.CancelFunc
 
-	server  *control.Server
-	client  Caller
-	news    chan news
-	beats   chan arrived
-	stopped atomic.Bool
-	cancel  context.CancelFunc
-	parts   tasks.Group
+	server     *control.Server
+	client     ControlClient
+	updates    chan update
+	heartbeats chan queuedHeartbeat
+	stopped    atomic.Bool
+	cancel     context.CancelFunc
+	background tasks.Group
 }
 
 // New returns a balancer that has not started.
 func New(settings Settings, deps Deps) (*Balancer, error) {
-	client := deps.Caller
+	client := deps.ControlClient
 	if client == nil {
 		var err error
 		if client, err = control.NewClient(deps.Ring); err != nil {
@@ -148,14 +150,14 @@
 		hints:  target.NewHints(settings.Limits),
 		sealer: envelope.NewSealer(deps.Ring, envelope.Room(settings.MTU, settings.Tunnel)-envelope.WalkRoom),
 		book:   spread.NewBook(), table: member.NewTable(),
-		heard: map[member.Key]*contact{}, byBeat: map[beaten]member.Key{}, serviceChanged: map[string]uint64{}, edges: map[uint32]*edge{},
-		client: client, news: make(chan news, newsQueue), beats: make(chan arrived, beatQueue),
+		tracked: map[member.Key]*trackedTarget{}, targetKeys: map[heartbeatKey]member.Key{}, serviceChanges: map[string]uint64{}, edges: map[uint32]*edge{},
+		client: client, updates: make(chan update, maxQueuedUpdates), heartbeats: make(chan queuedHeartbeat, maxQueuedHeartbeats),
 	}
 	b.snapshot.Store(&snapshot{sets: map[uint32]*target.Set{}})
 	return b, nil
 }
 
-// Start opens the sockets, joins the others and begins to serve.
+// Start opens the sockets, joins the other balancers and starts serving.
 func (b *Balancer) Start(ctx context.Context) error {
 	ctx, b.cancel = context.WithCancel(ctx)
 	if err := b.openTunnels(); err != nil {
@@ -172,40 +174,40 @@
 		Incarnation: 1, Sequence: 1, State: member.Alive,
 	}
 	b.join(ctx)
-	b.run(ctx, b.serveNews)
-	b.run(ctx, b.serveBeats)
-	b.run(ctx, b.tick)
+	b.run(ctx, b.servePushes)
+	b.run(ctx, b.serveHeartbeats)
+	b.run(ctx, b.runTicker)
 	b.serveTunnels()
 	b.deps.Log.Info().Str("event", "started").Stringer("control", b.self.Control).Msg("balancer started")
 	return nil
 }
 
-// run starts a part of the process that ends with the context.
-func (b *Balancer) run(ctx context.Context, part func(context.Context)) {
-	b.parts.Go(func() { part(ctx) })
+// run starts a background task that ends with the context.
+func (b *Balancer) run(ctx context.Context, task func(context.Context)) {
+	b.background.Go(func() { task(ctx) })
 }
 
-// Fill takes a configuration and members as if a peer had told them, before the
-// balancer starts. Measurements begin with it.
-func (b *Balancer) Fill(state *config.State, members []member.Member) {
+// Preload applies a configuration and members as if a peer had sent them, before
+// the balancer starts. Measurements use it.
+func (b *Balancer) Preload(state *config.State, members []member.Member) {
 	if len(members) > 0 {
 		all := make([]*wire.Member, len(members))
 		for i := range members {
 			all[i] = members[i].Wire()
 		}
-		b.takeMembers(all)
+		b.mergeMembers(all)
 	}
 	if state != nil {
-		b.takeState(state)
+		b.applyState(state)
 	}
 }
 
-// Control returns the address of control calls.
+// Control returns the address of the control server.
 func (b *Balancer) Control() netip.AddrPort {
 	return b.server.Address()
 }
 
-// Tunnels returns the sockets towards the agents.
+// Tunnels returns the addresses of the sockets towards the agents.
 func (b *Balancer) Tunnels() []netip.AddrPort {
 	return b.tunnelAddresses()
 }
@@ -217,7 +219,7 @@
 	return b.book.Version()
 }
 
-// Ready says why the balancer is not ready, or nothing.
+// Ready returns why the balancer is not ready, or an empty string.
 func (b *Balancer) Ready() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -230,19 +232,19 @@
 	return ""
 }
 
-// Stop leaves: others learn of it and answer through another balancer, while
-// this one serves on for as long as the configuration says. Then it ends.
+// Stop announces the leave, so that agents answer through another balancer,
+// keeps serving for the configured linger time, and then ends.
 func (b *Balancer) Stop(ctx context.Context) {
-	b.leave()
+	b.setLeaving()
 	b.mu.Lock()
 	linger := b.book.State().Root.Timing.Linger
 	b.mu.Unlock()
-	b.sayLeave(ctx, linger)
-	b.forgetRoster(ctx)
+	b.sendLeaves(ctx, linger)
+	b.removeRosterEntry(ctx)
 	b.Kill()
 }
 
-// Kill ends at once, as a failure would, but closes the sockets.
+// Kill ends at once, without announcing the leave, and closes the sockets.
 func (b *Balancer) Kill() {
 	if b.stopped.Swap(true) {
 		return
@@ -259,11 +261,11 @@
 		_ = e.conn.Close()
 	}
 	b.mu.Unlock()
-	b.parts.Wait()
+	b.background.Wait()
 	b.client.Close()
 }
 
-// random is even in [0, 1).
+// random returns a uniformly distributed number in [0, 1).
 func random() float64 {
 	return rand.Float64()
 }
--- a/internal/process/balancer/relay_test.go
+++ b/internal/process/balancer/balancer_test.go
@@ -24,8 +24,8 @@
 	anyPort = netip.AddrPortFrom(local, 0)
 )
 
-// newTest returns a balancer with a settable clock, without its slow path.
-func newTest(t testing.TB, c clock.Clock) *Balancer {
+// newTestBalancer returns a balancer with the given clock, without its ticker.
+func newTestBalancer(t testing.TB, c clock.Clock) *Balancer {
 	ring, err := key.Parse(key.Generate())
 	if err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 	return b
 }
 
-// configure brings a version with one service into force, whose one target's
-// tunnel is given.
+// configure puts a version with one service into force, whose only target has the
+// given tunnel address.
 func configure(t testing.TB, b *Balancer, address, tunnel netip.AddrPort) {
 	record := &config.Service{Name: "web", Number: 1, Address: address, Upstreams: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Flows: 100}
 	name := config.NameOf(record)
@@ -50,10 +50,10 @@
 	state.Root.Version = 1
 	state.Root.Timing = config.Timing{Heartbeat: 500, Suspect: 1500, Retain: clock.Minute}
 	state.Root.Services = []config.Entry{{Name: "web", Number: 1, Record: name}}
-	b.takeMembers([]*wire.Member{webTarget(tunnel).Wire()})
-	b.takeState(state)
+	b.mergeMembers([]*wire.Member{webTarget(tunnel).Wire()})
+	b.applyState(state)
 	if b.Version() != 1 {
-		t.Fatal("no configuration")
+		t.Fatal("the configuration is not in force")
 	}
 }
 
@@ -64,75 +64,75 @@
 	}
 }
 
-// A balancer is paused for a minute and has heard no target meanwhile. It must
-// not suspect them for that: the missing heartbeats are its own fault. A target
-// that is silent while the balancer runs is late.
+// A balancer that was paused for a minute has received no heartbeats meanwhile, and
+// must not suspect the targets for it. A target that is silent while the balancer
+// runs is overdue.
 func TestOwnPauseSuspectsNobody(t *testing.T) {
 	c := &clock.Manual{}
 	c.Add(clock.Hour)
-	b := newTest(t, c)
+	b := newTestBalancer(t, c)
 	configure(t, b, anyPort, anyPort)
 	timing := b.timing()
 	m := webTarget(anyPort)
-	if _, err := b.announced(&wire.Announce{Member: m.Wire()}); err != nil {
+	if _, err := b.handleAnnounce(&wire.Announce{Member: m.Wire()}); err != nil {
 		t.Fatal(err)
 	}
-	b.overdue(c.Now(), timing)
-	if late := b.overdue(c.Add(clock.Minute), timing); len(late) != 0 {
-		t.Errorf("%d targets are late after the balancer's own pause", len(late))
+	b.overdueTargets(c.Now(), timing)
+	if overdue := b.overdueTargets(c.Add(clock.Minute), timing); len(overdue) != 0 {
+		t.Errorf("%d targets are overdue after the balancer's own pause", len(overdue))
 	}
-	late := 0
+	overdue := 0
 	for range 10 {
-		late += len(b.overdue(c.Add(timing.Heartbeat), timing))
+		overdue += len(b.overdueTargets(c.Add(timing.Heartbeat), timing))
 	}
-	if late != 1 {
-		t.Errorf("late %d times, want once until it is probed", late)
+	if overdue != 1 {
+		t.Errorf("overdue %d times, want once until it is probed", overdue)
 	}
 	b.Kill()
 }
 
-// An agent sends every beat to its first contact and every seventh to the
-// others. For those it is not late in between, and they do not probe it.
-func TestOtherContactsArePatient(t *testing.T) {
+// An agent sends every heartbeat to its first contact and every seventh to the
+// others. Those must not take it for overdue in between and probe it.
+func TestSuspectTimeoutAtOtherContacts(t *testing.T) {
 	c := &clock.Manual{}
 	c.Add(clock.Hour)
-	b := newTest(t, c)
+	b := newTestBalancer(t, c)
 	configure(t, b, anyPort, anyPort)
 	timing := b.timing()
-	a := arrived{service: 1, target: target.IDOf("t1"), incarnation: 1, beat: &wire.Beat{Number: 7}}
-	b.beat(a)
-	b.overdue(c.Now(), timing)
+	h := queuedHeartbeat{service: 1, target: target.IDOf("t1"), incarnation: 1, heartbeat: &wire.Beat{Number: 7}}
+	b.handleHeartbeat(h)
+	b.overdueTargets(c.Now(), timing)
 	for number := uint32(8); number <= 7*20; number++ {
-		if number%mostGap == 0 {
-			a.beat.Number = number
-			b.beat(a)
+		if number%maxGap == 0 {
+			h.heartbeat.Number = number
+			b.handleHeartbeat(h)
 		}
-		if late := b.overdue(c.Add(timing.Heartbeat), timing); len(late) > 0 && number > 2*mostGap {
-			t.Fatalf("late at beat %d", number)
+		if overdue := b.overdueTargets(c.Add(timing.Heartbeat), timing); len(overdue) > 0 && number > 2*maxGap {
+			t.Fatalf("overdue at heartbeat %d", number)
 		}
-		b.heard[webTarget(anyPort).Key].probing = false
+		b.tracked[webTarget(anyPort).Key].probing = false
 	}
 	b.Kill()
 }
 
-// The control path is busy with a large change and holds its lock, and more
-// heartbeats arrive than the queue takes. The worker that reads them, and the
-// answers behind them, goes on at once; what is over the bound is dropped.
-func TestBeatsDoNotWait(t *testing.T) {
-	b := newTest(t, clock.System())
+// The control path holds its lock during a large change, and more heartbeats
+// arrive than the queue takes. The worker that reads them must not block, or the
+// answers after them would be delayed; heartbeats over the bound are dropped.
+func TestHeartbeatsDoNotBlockWorkers(t *testing.T) {
+	b := newTestBalancer(t, clock.System())
 	b.mu.Lock()
-	for range 2 * beatQueue {
-		b.queueBeat(&wire.Envelope{Beat: &wire.Beat{}}, nil, anyPort)
+	for range 2 * maxQueuedHeartbeats {
+		b.queueHeartbeat(&wire.Envelope{Beat: &wire.Beat{}}, nil, anyPort)
 	}
 	b.mu.Unlock()
-	if len(b.beats) != beatQueue {
-		t.Errorf("%d heartbeats wait, want %d", len(b.beats), beatQueue)
+	if len(b.heartbeats) != maxQueuedHeartbeats {
+		t.Errorf("%d heartbeats are queued, want %d", len(b.heartbeats), maxQueuedHeartbeats)
 	}
 	b.Kill()
 }
 
-// sink counts what arrives.
-func sink(t testing.TB) (netip.AddrPort, *atomic.Uint64) {
+// countingSink opens a socket and counts the datagrams that arrive.
+func countingSink(t testing.TB) (netip.AddrPort, *atomic.Uint64) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(anyPort))
 	if err != nil {
 		t.Fatal(err)
@@ -152,9 +152,9 @@
 	return conn.LocalAddr().(*net.UDPAddr).AddrPort(), &count
 }
 
-// blast sends datagrams to an address as fast as it goes until the end, and
-// returns how many a second the sink got.
-func blast(t testing.TB, to netip.AddrPort, count *atomic.Uint64) float64 {
+// measureRate sends datagrams to an address as fast as possible for a fixed time,
+// and returns how many per second the sink received.
+func measureRate(t testing.TB, to netip.AddrPort, count *atomic.Uint64) float64 {
 	const senders = 2
 	const length = 2 * time.Second
 	conns := make([]*net.UDPConn, senders)
@@ -185,9 +185,9 @@
 	return float64(count.Load()-start) / length.Seconds()
 }
 
-// relay is the bare UDP relay that the balancer is measured beside: two workers
+// bareRelay is the plain UDP relay that the balancer is compared with: two workers
 // that read a datagram and write it to the sink.
-func relay(t testing.TB, to netip.AddrPort) netip.AddrPort {
+func bareRelay(t testing.TB, to netip.AddrPort) netip.AddrPort {
 	in, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(anyPort))
 	if err != nil {
 		t.Fatal(err)
@@ -213,22 +213,22 @@
 	return in.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// BenchmarkThroughput gives datagrams a second through one balancer and through
-// a bare relay, in turns, and their ratio.
+// BenchmarkThroughput measures datagrams per second through one balancer and
+// through a bare relay, in turns, and their ratio.
 func BenchmarkThroughput(b *testing.B) {
-	to, count := sink(b)
-	x := newTest(b, clock.System())
+	to, count := countingSink(b)
+	x := newTestBalancer(b, clock.System())
 	if err := x.openTunnels(); err != nil {
 		b.Fatal(err)
 	}
 	configure(b, x, anyPort, to)
-	edge, _ := x.edge(1)
+	edge, _ := x.edgeOf(1)
 	edgeAddress := edge.conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	bare := relay(b, to)
+	bare := bareRelay(b, to)
 	var ours, theirs float64
 	for b.Loop() {
-		theirs += blast(b, bare, count)
-		ours += blast(b, netip.AddrPortFrom(local, edgeAddress.Port()), count)
+		theirs += measureRate(b, bare, count)
+		ours += measureRate(b, netip.AddrPortFrom(local, edgeAddress.Port()), count)
 	}
 	b.ReportMetric(ours/float64(b.N), "balancer-dgrams/s")
 	b.ReportMetric(theirs/float64(b.N), "relay-dgrams/s")
@@ -236,9 +236,9 @@
 	x.Kill()
 }
 
-// BenchmarkReceive is what an answer costs a balancer besides the sockets.
+// BenchmarkReceive measures the cost of an answer in a balancer without the sockets.
 func BenchmarkReceive(b *testing.B) {
-	x := newTest(b, clock.System())
+	x := newTestBalancer(b, clock.System())
 	caller := envelope.AppendCaller(nil, netip.MustParseAddrPort("203.0.113.9:4433"))
 	sealed, err := x.sealer.Seal(nil, &wire.Envelope{Kind: wire.Kind_KIND_HINT, Service: 1, Target: 7, Incarnation: 1, Caller: caller})
 	if err != nil {
@@ -251,6 +251,6 @@
 		if err := opener.Open(&e, sealed); err != nil {
 			b.Fatal(err)
 		}
-		x.receive(&e)
+		x.dispatch(&e)
 	}
 }
--- a/internal/process/balancer/contact.go
+++ b/internal/process/balancer/contact.go
@@ -14,26 +14,26 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// contact is what a balancer keeps of a target that announces itself here.
-type contact struct {
-	heard clock.Millis
-	// number is that of the last beat, and gap how many beats lie between
-	// the last two that came here.
-	number  uint32
-	gap     uint32
-	probing bool
-	flows   uint32
-	busy    uint32
-	slots   uint32
-	// view is what the target is told, made anew when anything changed.
-	made     stamp
-	view     uint64
+// trackedTarget is the state of a target that announces itself to this balancer.
+type trackedTarget struct {
+	heardAt clock.Millis
+	// lastNumber is that of the last heartbeat, and gap the difference
+	// between the numbers of the last two that were received.
+	lastNumber uint32
+	gap        uint32
+	probing    bool
+	flows      uint32
+	busy       uint32
+	slots      uint32
+	// The view is sent to the target and rebuilt when its revision changes.
+	revision viewRevision
+	viewHash uint64
 	peers    []*wire.Member
 	contacts []*wire.Member
 }
 
-// announced takes a heartbeat and answers with what the agent does not know.
-func (b *Balancer) announced(r *wire.Announce) (*wire.Announced, error) {
+// handleAnnounce handles an announcement and returns what the agent does not know.
+func (b *Balancer) handleAnnounce(r *wire.Announce) (*wire.Announced, error) {
 	m, err := member.FromWire(r.Member)
 	if err != nil || m.Kind != member.Target {
 		return nil, member.ErrMember
@@ -42,19 +42,19 @@
 	b.mu.Lock()
 	var fresh []member.Member
 	if m.Incarnation != 0 {
-		fresh = b.merge(m)
+		fresh = b.mergeMember(m)
 	}
-	b.membersChanged(fresh)
-	reply := b.reply(r, m)
+	b.updateSnapshot(fresh)
+	reply := b.buildReply(r, m)
 	b.mu.Unlock()
 	if len(fresh) > 0 {
-		b.tell(news{members: fresh})
+		b.queueUpdate(update{members: fresh})
 	}
 	return reply, nil
 }
 
-// reply runs with mu held.
-func (b *Balancer) reply(r *wire.Announce, m member.Member) *wire.Announced {
+// buildReply is called with mu held.
+func (b *Balancer) buildReply(r *wire.Announce, m member.Member) *wire.Announced {
 	known, _ := b.table.Get(m.Key)
 	state := b.book.State()
 	reply := &wire.Announced{
@@ -68,41 +68,41 @@
 		reply.Record, _ = json.Marshal(service)
 		reply.Timing, _ = json.Marshal(state.Root.Timing)
 	}
-	c := &contact{}
+	c := &trackedTarget{}
 	switch m.Incarnation {
 	case 0:
-		// An agent that starts asks before it announces itself.
-		b.makeView(c, m)
+		// A starting agent sends a query before it announces itself.
+		b.buildView(c, m)
 	case known.Incarnation:
-		c = b.hear(r, m)
+		c = b.trackTarget(r, m)
 	default:
 		return reply
 	}
-	reply.View = c.view
-	if r.View != c.view {
+	reply.View = c.viewHash
+	if r.View != c.viewHash {
 		reply.Peers = c.peers
 		reply.Contacts = c.contacts
 	}
 	return reply
 }
 
-func (b *Balancer) hear(r *wire.Announce, m member.Member) *contact {
-	c := b.heard[m.Key]
+func (b *Balancer) trackTarget(r *wire.Announce, m member.Member) *trackedTarget {
+	c := b.tracked[m.Key]
 	if c == nil {
-		c = &contact{}
-		b.heard[m.Key] = c
+		c = &trackedTarget{}
+		b.tracked[m.Key] = c
 	}
-	c.heard = b.deps.Clock.Now()
+	c.heardAt = b.deps.Clock.Now()
 	c.flows, c.busy, c.slots = r.Flows, r.Busy, r.Slots
-	if c.made != b.stamp(m.Service) || c.view == 0 {
-		b.makeView(c, m)
+	if c.revision != b.viewRevision(m.Service) || c.viewHash == 0 {
+		b.buildView(c, m)
 	}
 	return c
 }
 
-// makeView prepares what a target is told of its service and its contacts.
-func (b *Balancer) makeView(c *contact, m member.Member) {
-	c.made = b.stamp(m.Service)
+// buildView builds what is sent to a target about its service and its contacts.
+func (b *Balancer) buildView(c *trackedTarget, m member.Member) {
+	c.revision = b.viewRevision(m.Service)
 	state := b.book.State()
 	c.peers = nil
 	for _, p := range b.table.Service(m.Service) {
@@ -116,15 +116,16 @@
 		c.peers = append(c.peers, w)
 	}
 	c.contacts = wireMembers(member.Contacts(b.table.Balancers(), m.Domain, m.Name))
-	told := told{Peers: c.peers, Contacts: c.contacts, Drain: state.Draining(m.Service, m.Name), Timing: state.Root.Timing}
-	told.Service, _ = state.Service(m.Service)
-	data, _ := json.Marshal(told)
-	c.view = xxh3.Hash(data)
+	contents := viewContents{Peers: c.peers, Contacts: c.contacts, Drain: state.Draining(m.Service, m.Name), Timing: state.Root.Timing}
+	contents.Service, _ = state.Service(m.Service)
+	data, _ := json.Marshal(contents)
+	c.viewHash = xxh3.Hash(data)
 }
 
-// told is all that a target is told. Its hash in the answers to beats shows the
-// target a difference; changes of other services are none.
-type told struct {
+// viewContents is all that a target's view depends on. Its hash in the
+// acknowledgements shows the target a difference; changes of other services do
+// not affect it.
+type viewContents struct {
 	Peers    []*wire.Member  `json:"peers"`
 	Contacts []*wire.Member  `json:"contacts"`
 	Drain    bool            `json:"drain"`
@@ -132,68 +133,68 @@
 	Service  *config.Service `json:"service"`
 }
 
-// overdue returns the targets whose heartbeats this balancer misses.
+// overdueTargets returns the targets whose heartbeats are overdue.
 //
-// A balancer that was paused itself has heard nobody. It would suspect every
-// target at once, so after a gap of its own it starts to count anew.
-func (b *Balancer) overdue(now clock.Millis, timing config.Timing) []member.Member {
+// A balancer that was paused itself has received no heartbeats and would suspect
+// every target at once, so after such a pause it restarts the timeouts.
+func (b *Balancer) overdueTargets(now clock.Millis, timing config.Timing) []member.Member {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	paused := b.ticked != 0 && now.Sub(b.ticked) > 2*timing.Heartbeat
-	b.ticked = now
-	var late []member.Member
-	for k, c := range b.heard {
+	paused := b.lastTick != 0 && now.Sub(b.lastTick) > 2*timing.Heartbeat
+	b.lastTick = now
+	var overdue []member.Member
+	for k, c := range b.tracked {
 		if paused {
-			c.heard = now
+			c.heardAt = now
 		}
 		m, ok := b.table.Get(k)
 		if !ok || m.State == member.Left {
-			delete(b.heard, k)
+			delete(b.tracked, k)
 			continue
 		}
-		if now.Sub(c.heard) > c.patience(timing) && !c.probing && !m.Suspected {
+		if now.Sub(c.heardAt) > c.suspectTimeout(timing) && !c.probing && !m.Suspected {
 			c.probing = true
-			late = append(late, m.Member)
+			overdue = append(overdue, m.Member)
 		}
 	}
-	return late
+	return overdue
 }
 
-// beaten notes the number of a beat.
-func (c *contact) beaten(number uint32) {
-	if c.number != 0 && number > c.number {
-		c.gap = min(number-c.number, mostGap)
+// recordHeartbeat updates the gap and the last number.
+func (c *trackedTarget) recordHeartbeat(number uint32) {
+	if c.lastNumber != 0 && number > c.lastNumber {
+		c.gap = min(number-c.lastNumber, maxGap)
 	}
-	c.number = number
+	c.lastNumber = number
 }
 
-// mostGap is the most beats that an agent leaves out towards a contact that is
-// not its first one.
-const mostGap = 7
+// maxGap is the longest interval, in heartbeats, at which an agent sends to a
+// contact other than its first one.
+const maxGap = 7
 
-// patience is how long a target may be silent here. An agent sends every beat
-// to its first contact and some of them to the others, so what is late for the
-// first one is not late for them.
-func (c *contact) patience(timing config.Timing) clock.Millis {
+// suspectTimeout is how long a target may be silent before it is overdue. An
+// agent sends every heartbeat to its first contact and only some of them to the
+// others, so the timeout is longer there.
+func (c *trackedTarget) suspectTimeout(timing config.Timing) clock.Millis {
 	if c.gap <= 1 {
 		return timing.Suspect
 	}
 	return timing.Suspect + clock.Millis(c.gap-1)*timing.Heartbeat
 }
 
-// probe asks a late target itself before it is suspected: its heartbeats may
-// go to other balancers by now, or the connection may have died alone.
+// probe calls an overdue target before it is suspected: it may send its
+// heartbeats to other balancers by now, or only the connection may have failed.
 func (b *Balancer) probe(ctx context.Context, m member.Member) {
 	err := b.call(ctx, m.Control, control.Ping, &wire.Empty{}, &wire.Empty{})
 	b.mu.Lock()
-	c := b.heard[m.Key]
+	c := b.tracked[m.Key]
 	if c != nil {
 		c.probing = false
-		c.heard = b.deps.Clock.Now()
+		c.heardAt = b.deps.Clock.Now()
 	}
 	if err == nil {
-		if !b.mine(m) {
-			delete(b.heard, m.Key)
+		if !b.isContactOf(m) {
+			delete(b.tracked, m.Key)
 		}
 		b.mu.Unlock()
 		return
@@ -202,42 +203,43 @@
 	b.suspect(m.Key)
 }
 
-// mine reports, with mu held, that the target should announce itself here.
-func (b *Balancer) mine(m member.Member) bool {
+// isContactOf reports whether the target should announce itself to this balancer.
+// It is called with mu held.
+func (b *Balancer) isContactOf(m member.Member) bool {
 	contacts := member.Contacts(b.table.Balancers(), m.Domain, m.Name)
 	return slices.ContainsFunc(contacts, func(c member.Since) bool { return c.Name == b.settings.Name })
 }
 
-// suspect spreads a suspicion.
+// suspect marks a member as suspected and propagates it.
 func (b *Balancer) suspect(k member.Key) {
 	b.mu.Lock()
 	m, ok := b.table.Suspect(b.deps.Clock.Now(), k)
 	if ok {
-		b.membersChanged([]member.Member{m})
+		b.updateSnapshot([]member.Member{m})
 	}
 	b.mu.Unlock()
 	if !ok {
 		return
 	}
 	b.count.suspected.Inc(1)
-	b.deps.Log.Warn().Str("event", "suspected").Str("kind", string(k.Kind)).Str("service", k.Service).Str("name", k.Name).Msg("no answer")
-	b.tell(news{members: []member.Member{m}})
+	b.deps.Log.Warn().Str("event", "suspected").Str("kind", string(k.Kind)).Str("service", k.Service).Str("name", k.Name).Msg("no reply; member suspected")
+	b.queueUpdate(update{members: []member.Member{m}})
 }
 
-// adoptOrphans starts to listen for the targets that should announce
-// themselves here and do not: their former contacts may have died together
-// with them, and nobody else would notice.
-func (b *Balancer) adoptOrphans(now clock.Millis) {
+// trackUnheardTargets starts to track the targets that should announce themselves
+// to this balancer and do not: their former contacts may have failed together
+// with them, and no other balancer would notice.
+func (b *Balancer) trackUnheardTargets(now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	balancers := b.table.Balancers()
 	for _, m := range b.table.All(isTarget) {
-		if _, ok := b.heard[m.Key]; ok || m.Suspected || m.State == member.Left {
+		if _, ok := b.tracked[m.Key]; ok || m.Suspected || m.State == member.Left {
 			continue
 		}
 		contacts := member.Contacts(balancers, m.Domain, m.Name)
 		if slices.ContainsFunc(contacts, func(c member.Since) bool { return c.Name == b.settings.Name }) {
-			b.heard[m.Key] = &contact{heard: now}
+			b.tracked[m.Key] = &trackedTarget{heardAt: now}
 		}
 	}
 }
--- a/internal/process/balancer/count.go
+++ b/internal/process/balancer/counters.go
@@ -2,7 +2,7 @@
 
 import "github.com/uber-go/tally/v4"
 
-// counters are made once: a scope looks names up in a map.
+// counters are created once, because a scope looks names up in a map.
 type counters struct {
 	forwarded, returned, hinted, walked   tally.Counter
 	forged, malformed, large, untargeted  tally.Counter
--- a/internal/process/balancer/edge.go
+++ b/internal/process/balancer/edge.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// fewServices is the number of services up to which each gets all
-	// workers; beyond it one worker a service is enough and saves memory.
-	fewServices = 16
+	// maxMultiWorkerServices is the number of services up to which each gets
+	// all workers; beyond it one worker per service is enough and saves memory.
+	maxMultiWorkerServices = 16
 )
 
 // edge is the socket of one service towards the callers.
@@ -28,20 +28,21 @@
 	conn    *net.UDPConn
 }
 
-// worker holds what one datagram needs, and is used for the next one again.
-type worker struct {
+// workerBuffers holds the buffers for one datagram and is reused for the next one.
+type workerBuffers struct {
 	in       [envelope.MaxDatagram]byte
 	out      []byte
 	caller   []byte
 	envelope wire.Envelope
 }
 
-func newWorker() *worker {
-	return &worker{out: make([]byte, 0, envelope.MaxDatagram), caller: make([]byte, 0, 18)}
+func newWorkerBuffers() *workerBuffers {
+	return &workerBuffers{out: make([]byte, 0, envelope.MaxDatagram), caller: make([]byte, 0, 18)}
 }
 
-// bind makes the edges those of a configuration. It runs with mu held.
-func (b *Balancer) bind(state *config.State) {
+// bindEdges opens and closes edges to match a configuration. It is called with mu
+// held.
+func (b *Balancer) bindEdges(state *config.State) {
 	if b.stopped.Load() {
 		return
 	}
@@ -63,19 +64,19 @@
 		if _, ok := b.edges[number]; ok {
 			continue
 		}
-		if err := b.open(number, address, len(wanted)); err != nil {
+		if err := b.openEdge(number, address, len(wanted)); err != nil {
 			b.count.unserved.Inc(1)
 			b.deps.Log.Error().Str("event", "unserved").Uint32("service", number).
-				Stringer("address", address).Err(err).Msg("a service's address cannot be bound")
+				Stringer("address", address).Err(err).Msg("cannot bind service address")
 		}
 	}
 	published := maps.Clone(b.edges)
-	b.answers.Store(&published)
+	b.publishedEdges.Store(&published)
 }
 
-// edge returns the socket that answers of a service leave through.
-func (b *Balancer) edge(service uint32) (*edge, bool) {
-	edges := b.answers.Load()
+// edgeOf returns the edge that sends the answers of a service.
+func (b *Balancer) edgeOf(service uint32) (*edge, bool) {
+	edges := b.publishedEdges.Load()
 	if edges == nil {
 		return nil, false
 	}
@@ -83,24 +84,24 @@
 	return e, ok
 }
 
-func (b *Balancer) open(service uint32, address netip.AddrPort, services int) error {
-	conn, err := b.listen(address)
+func (b *Balancer) openEdge(service uint32, address netip.AddrPort, services int) error {
+	conn, err := b.listenEdge(address)
 	if err != nil {
 		return err
 	}
 	e := &edge{service: service, address: address, conn: conn}
 	b.edges[service] = e
 	workers := b.settings.Workers
-	if services > fewServices {
+	if services > maxMultiWorkerServices {
 		workers = 1
 	}
 	for range workers {
-		b.parts.Go(func() { b.serveEdge(e) })
+		b.background.Go(func() { b.serveEdge(e) })
 	}
 	return nil
 }
 
-func (b *Balancer) listen(address netip.AddrPort) (*net.UDPConn, error) {
+func (b *Balancer) listenEdge(address netip.AddrPort) (*net.UDPConn, error) {
 	if b.deps.Listen != nil {
 		return b.deps.Listen(address)
 	}
@@ -113,7 +114,7 @@
 }
 
 func (b *Balancer) serveEdge(e *edge) {
-	w := newWorker()
+	w := newWorkerBuffers()
 	for {
 		n, from, err := e.conn.ReadFromUDPAddrPort(w.in[:])
 		if err != nil {
@@ -127,8 +128,8 @@
 	}
 }
 
-// forward brings one datagram of a caller on its way.
-func (b *Balancer) forward(w *worker, service uint32, from netip.AddrPort, datagram []byte) {
+// forward sends one datagram of a caller to an agent.
+func (b *Balancer) forward(w *workerBuffers, service uint32, from netip.AddrPort, datagram []byte) {
 	set, ok := b.snapshot.Load().sets[service]
 	if !ok {
 		b.count.untargeted.Inc(1)
@@ -141,19 +142,19 @@
 		b.count.untargeted.Inc(1)
 		return
 	}
-	w.fill(service, &route, datagram)
+	w.fillEnvelope(service, &route, datagram)
 	if b.deps.Tracer.Sampled(opening, random()) {
 		w.envelope.Trace = b.deps.Tracer.Hop(nil, "balancer.forward", trace.Hop{
 			Service: service, Target: route.Target.ID, Caller: from.String(), Outcome: route.Stage.String(),
 		})
 	}
-	b.watchPath(&route)
+	b.updatePath(&route)
 	b.send(w, &route)
 }
 
-// watchPath notes what is asked of a target, and leaves a path on which nothing
-// is answered.
-func (b *Balancer) watchPath(r *target.Route) {
+// updatePath records a question to a target, and changes the port of a path on
+// which questions remain unanswered.
+func (b *Balancer) updatePath(r *target.Route) {
 	now := b.deps.Clock.Now()
 	changed := r.Silent != 0 && b.paths.Change(now, r.Silent)
 	if r.Ask && b.paths.Asked(now, r.Target.ID) || changed {
@@ -161,12 +162,12 @@
 	}
 }
 
-// tunnelTo returns the socket that is used towards a target.
+// tunnelTo returns the socket that is currently used for a target.
 func (b *Balancer) tunnelTo(id target.ID) *tunnel {
 	return b.tunnels[int(b.paths.Port(id))%len(b.tunnels)]
 }
 
-func (w *worker) fill(service uint32, r *target.Route, datagram []byte) {
+func (w *workerBuffers) fillEnvelope(service uint32, r *target.Route, datagram []byte) {
 	e := &w.envelope
 	e.Kind = wire.Kind_KIND_FORWARD
 	e.Stage = r.Stage
@@ -180,7 +181,7 @@
 	e.Payload = datagram
 }
 
-func (b *Balancer) send(w *worker, r *target.Route) {
+func (b *Balancer) send(w *workerBuffers, r *target.Route) {
 	out, err := b.sealer.Seal(w.out[:0], &w.envelope)
 	if err != nil {
 		b.count.large.Inc(1)
--- a/internal/process/balancer/handle.go
+++ b/internal/process/balancer/handle.go
@@ -11,46 +11,46 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Handle answers the calls of peers, agents and operators.
+// Handle handles the calls of peers, agents and operators.
 func (b *Balancer) Handle(ctx context.Context, method control.Method, params json.RawMessage) (any, error) {
 	switch method {
 	case control.Announce:
-		r, err := control.Read[wire.Announce](params)
+		r, err := control.DecodeParams[wire.Announce](params)
 		if err != nil {
 			return nil, err
 		}
-		return b.announced(r)
+		return b.handleAnnounce(r)
 	case control.Push:
-		r, err := control.Read[wire.Push](params)
+		r, err := control.DecodeParams[wire.Push](params)
 		if err != nil {
 			return nil, err
 		}
-		return &wire.Empty{}, b.pushed(ctx, r)
+		return &wire.Empty{}, b.handlePush(ctx, r)
 	case control.Sync:
-		r, err := control.Read[wire.Sync](params)
+		r, err := control.DecodeParams[wire.Sync](params)
 		if err != nil {
 			return nil, err
 		}
-		return b.synced(r), nil
+		return b.handleSync(r), nil
 	case control.Exchange:
-		r, err := control.Read[wire.Exchange](params)
+		r, err := control.DecodeParams[wire.Exchange](params)
 		if err != nil {
 			return nil, err
 		}
-		return b.exchanged(r), nil
+		return b.handleExchange(r), nil
 	case control.Status:
 		return b.status(), nil
 	case control.Ping:
 		return &wire.Empty{}, nil
 	default:
-		return nil, control.ErrMethod
+		return nil, control.ErrUnknownMethod
 	}
 }
 
-// pushed takes news. When something in between is missing, it is fetched from
-// the sender.
-func (b *Balancer) pushed(ctx context.Context, r *wire.Push) error {
-	b.takeMembers(r.Members)
+// handlePush applies a pushed update. Deltas that are missing before it are
+// fetched from the sender.
+func (b *Balancer) handlePush(ctx context.Context, r *wire.Push) error {
+	b.mergeMembers(r.Members)
 	if len(r.Delta) == 0 {
 		return nil
 	}
@@ -58,18 +58,18 @@
 	if err := json.Unmarshal(r.Delta, &d); err != nil {
 		return err
 	}
-	if !b.takeDelta(&d) {
+	if !b.applyDelta(&d) {
 		return nil
 	}
-	if sender, ok := b.controlOf(r.From); ok {
-		// The call outlives this one, which must not wait for it: the
-		// sender may be waiting for us.
+	if sender, ok := b.controlAddress(r.From); ok {
+		// The sync outlives this call, which must not wait for it: the
+		// sender may be waiting for the reply.
 		b.run(context.WithoutCancel(ctx), func(ctx context.Context) { _ = b.syncWith(ctx, sender) })
 	}
 	return nil
 }
 
-func (b *Balancer) controlOf(name string) (netip.AddrPort, bool) {
+func (b *Balancer) controlAddress(name string) (netip.AddrPort, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m, ok := b.table.Get(member.Key{Kind: member.Balancer, Name: name})
@@ -81,7 +81,7 @@
 	defer b.mu.Unlock()
 	s := &wire.Status{Self: b.self.Wire(), Version: b.book.Version(), Hints: uint64(b.hints.Len())}
 	s.Members = wireMembers(b.table.All(func(*member.Member) bool { return true }))
-	for k, c := range b.heard {
+	for k, c := range b.tracked {
 		m, ok := b.table.Get(k)
 		if !ok {
 			continue
--- a/internal/process/balancer/news.go
+++ b/internal/process/balancer/news.go
@@ -16,69 +16,69 @@
 )
 
 const (
-	// newsQueue bounds the news that wait to be pushed. Beyond it news are
-	// dropped and counted; the digest exchange brings them later.
-	newsQueue = 256
-	// newsBatch is how many waiting news go out in one push.
-	newsBatch = 64
-	// gather is how long news of members wait for more of them.
-	gather = 50 * clock.Millis(1)
+	// maxQueuedUpdates bounds the updates that are queued to be pushed. Those
+	// beyond it are dropped and counted; a later sync delivers them.
+	maxQueuedUpdates = 256
+	// maxBatchedUpdates bounds the updates that are pushed in one batch.
+	maxBatchedUpdates = 64
+	// batchDelay is how long updates of members wait to be batched with others.
+	batchDelay = 50 * clock.Millis(1)
 	// callTimeout bounds one call to a peer.
 	callTimeout = time.Second
-	// neighboursNear and neighboursFar are how many balancers of its own
-	// failure domain and of others a balancer exchanges news with. They
-	// stay the same while the members do, so their connections are kept:
-	// a handshake with a random peer every second would alone be more than
-	// the budget of control traffic.
-	neighboursNear = 4
-	neighboursFar  = 2
+	// localNeighbours and remoteNeighbours are how many balancers of its own
+	// failure domain and of others a balancer exchanges updates with. They
+	// stay the same while the members do, so their connections are reused:
+	// a handshake with a random peer every second would alone exceed the
+	// budget of control traffic.
+	localNeighbours  = 4
+	remoteNeighbours = 2
 )
 
-// news is what a push carries on.
-type news struct {
+// update is a change that is pushed to the neighbours.
+type update struct {
 	delta   *config.Delta
 	members []member.Member
 }
 
-// tell queues news for the neighbours.
-func (b *Balancer) tell(n news) {
+// queueUpdate queues an update for the neighbours.
+func (b *Balancer) queueUpdate(u update) {
 	select {
-	case b.news <- n:
+	case b.updates <- u:
 	default:
 		b.count.newsLost.Inc(1)
 	}
 }
 
-func (b *Balancer) serveNews(ctx context.Context) {
+func (b *Balancer) servePushes(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-b.news:
-			if n.delta == nil {
+		case u := <-b.updates:
+			if u.delta == nil {
 				// After a failure domain has restarted, hundreds of
-				// records change at once. Waiting a little makes one
-				// push of many of them; a configuration goes at once.
-				<-after(gather)
+				// records change at once. A short delay batches many of
+				// them into one push; a configuration is not delayed.
+				<-after(batchDelay)
 			}
-			b.push(ctx, b.batch(n))
+			b.push(ctx, b.nextBatch(u))
 		}
 	}
 }
 
-// batch joins what waits: members of several news, but one delta at a time,
-// since deltas are taken one after the other.
-func (b *Balancer) batch(first news) []news {
-	all := []news{first}
-	for len(all) < newsBatch {
+// nextBatch drains the queue into one batch. Members of several updates are
+// merged; each delta stays separate, since deltas are applied one after the other.
+func (b *Balancer) nextBatch(first update) []update {
+	all := []update{first}
+	for len(all) < maxBatchedUpdates {
 		select {
-		case n := <-b.news:
+		case u := <-b.updates:
 			last := &all[len(all)-1]
-			if n.delta == nil {
-				last.members = append(last.members, n.members...)
+			if u.delta == nil {
+				last.members = append(last.members, u.members...)
 				continue
 			}
-			all = append(all, n)
+			all = append(all, u)
 		default:
 			return all
 		}
@@ -86,12 +86,12 @@
 	return all
 }
 
-// push sends news to all neighbours at once and waits for them, so a slow one
-// holds the next push up for no longer than the call's timeout.
-func (b *Balancer) push(ctx context.Context, all []news) {
+// push sends updates to all neighbours in parallel and waits for them, so a slow
+// one delays the next push by no more than the timeout of a call.
+func (b *Balancer) push(ctx context.Context, all []update) {
 	var requests []*wire.Push
-	for _, n := range all {
-		requests = append(requests, n.wire(b.settings.Name))
+	for _, u := range all {
+		requests = append(requests, u.message(b.settings.Name))
 	}
 	done := make(chan struct{})
 	neighbours := b.neighbours()
@@ -111,13 +111,13 @@
 	}
 }
 
-func (n *news) wire(from string) *wire.Push {
+func (u *update) message(from string) *wire.Push {
 	r := &wire.Push{From: from}
-	if n.delta != nil {
-		r.Delta, _ = json.Marshal(n.delta)
+	if u.delta != nil {
+		r.Delta, _ = json.Marshal(u.delta)
 	}
-	for i := range n.members {
-		r.Members = append(r.Members, n.members[i].Wire())
+	for i := range u.members {
+		r.Members = append(r.Members, u.members[i].Wire())
 	}
 	return r
 }
@@ -128,40 +128,41 @@
 	return b.client.Call(ctx, to, m, request, reply)
 }
 
-// neighbours returns the balancers that this one exchanges news with: by rank
+// neighbours returns the balancers that this one exchanges updates with: by rank
 // some of its own domain and of others, and the next one by name in its
-// domain, so that every balancer is somebody's neighbour.
+// domain, so that every balancer is the neighbour of at least one other.
 func (b *Balancer) neighbours() []member.Since {
 	b.mu.Lock()
 	others := slices.DeleteFunc(b.table.Balancers(), func(m member.Since) bool {
 		return m.Name == b.settings.Name || !m.Live()
 	})
 	b.mu.Unlock()
-	return neighbours(others, b.settings.Domain, b.settings.Name)
+	return selectNeighbours(others, b.settings.Domain, b.settings.Name)
 }
 
-func neighbours(others []member.Since, domain, name string) []member.Since {
-	var near, far []member.Since
+func selectNeighbours(others []member.Since, domain, name string) []member.Since {
+	var localPeers, remotePeers []member.Since
 	for _, m := range member.Ranked(others, name) {
-		if m.Domain == domain && len(near) < neighboursNear {
-			near = append(near, m)
+		if m.Domain == domain && len(localPeers) < localNeighbours {
+			localPeers = append(localPeers, m)
 		}
-		if m.Domain != domain && len(far) < neighboursFar {
-			far = append(far, m)
+		if m.Domain != domain && len(remotePeers) < remoteNeighbours {
+			remotePeers = append(remotePeers, m)
 		}
 	}
-	if next, ok := successor(others, domain, name); ok && !slices.ContainsFunc(near, sameAs(next)) {
-		near = append(near, next)
+	if next, ok := nextByName(others, domain, name); ok && !slices.ContainsFunc(localPeers, sameKey(next)) {
+		localPeers = append(localPeers, next)
 	}
-	return append(near, far...)
+	return append(localPeers, remotePeers...)
 }
 
-func sameAs(m member.Since) func(member.Since) bool {
+func sameKey(m member.Since) func(member.Since) bool {
 	return func(o member.Since) bool { return o.Key == m.Key }
 }
 
-// successor returns the next balancer by name in a domain, around the end.
-func successor(others []member.Since, domain, name string) (member.Since, bool) {
+// nextByName returns the next balancer by name in a domain, wrapping around at the
+// end.
+func nextByName(others []member.Since, domain, name string) (member.Since, bool) {
 	var first, next *member.Since
 	for i := range others {
 		m := &others[i]
--- a/internal/process/balancer/relay.go
+++ b/internal/process/balancer/relay.go
@@ -15,70 +15,71 @@
 	"github.com/wagtailtray/wagtailtray/pkg/platform"
 )
 
-// errChanged ends a watch so that the new root is read whole.
-var errChanged = errs.New("balancer: the root has changed")
+// errRootChanged ends a watch so that the new root is loaded in full.
+var errRootChanged = errs.New("balancer: the root has changed")
 
-// Rostered is a balancer's entry in the platform, for first contact only.
-type Rostered struct {
+// RosterEntry is a balancer's entry in the platform's store. It serves only the
+// discovery of a first peer.
+type RosterEntry struct {
 	Control netip.AddrPort `json:"control"`
 	Domain  string         `json:"domain"`
 }
 
-// relay watches the platform while this balancer is one of the first live
-// ones of its domain, and no longer.
-func (b *Balancer) relay(ctx context.Context) {
+// updateRelay starts the watch of the platform when this balancer becomes one of
+// the first live ones of its domain, and ends it when it no longer is.
+func (b *Balancer) updateRelay(ctx context.Context) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	wanted := b.self.State == member.Alive && member.Relays(b.table.Balancers(), &b.self)
-	if wanted == (b.watch != nil) {
+	if wanted == (b.cancelWatch != nil) {
 		return
 	}
 	if !wanted {
-		b.watch()
-		b.watch = nil
+		b.cancelWatch()
+		b.cancelWatch = nil
 		return
 	}
-	ctx, b.watch = context.WithCancel(ctx)
+	ctx, b.cancelWatch = context.WithCancel(ctx)
 	b.run(ctx, b.watchRoot)
 }
 
-// Relays reports whether this balancer watches the platform now.
-func (b *Balancer) Relays() bool {
+// IsRelay reports whether this balancer currently watches the platform.
+func (b *Balancer) IsRelay() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.watch != nil
+	return b.cancelWatch != nil
 }
 
-// watchRoot reads the root and waits for its next change, again and again.
-// While the platform is down, what is in force stays in force.
+// watchRoot loads the root and waits for its next change, in a loop. While the
+// platform is unavailable, the configuration in force stays in force.
 func (b *Balancer) watchRoot(ctx context.Context) {
-	pause := backoff.NewExponentialBackOff()
-	pause.MaxInterval = (5 * clock.Second).Duration()
+	retry := backoff.NewExponentialBackOff()
+	retry.MaxInterval = (5 * clock.Second).Duration()
 	for ctx.Err() == nil {
 		err := b.watchOnce(ctx)
-		if errors.Is(err, errChanged) || errors.Is(err, platform.ErrGone) {
-			pause.Reset()
+		if errors.Is(err, errRootChanged) || errors.Is(err, platform.ErrGone) {
+			retry.Reset()
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-after(clock.Of(pause.NextBackOff())):
+		case <-after(clock.Of(retry.NextBackOff())):
 		}
 	}
 }
 
 func (b *Balancer) watchOnce(ctx context.Context) error {
-	version, err := b.load(ctx)
+	version, err := b.loadConfiguration(ctx)
 	if err != nil {
 		return err
 	}
 	return b.deps.Store.Watch(ctx, platform.Configurations, version, func(platform.Event) error {
-		return errChanged
+		return errRootChanged
 	})
 }
 
-// load reads the platform's configuration and takes it if it is later.
-func (b *Balancer) load(ctx context.Context) (uint64, error) {
+// loadConfiguration loads the platform's configuration and applies it if it is later.
+func (b *Balancer) loadConfiguration(ctx context.Context) (uint64, error) {
 	b.mu.Lock()
 	known := b.book.State()
 	b.mu.Unlock()
@@ -86,57 +87,58 @@
 	if err != nil {
 		return 0, err
 	}
-	b.takeState(state)
+	b.applyState(state)
 	return version, nil
 }
 
-// readPlatform is the last resort of a process that no peer answers.
-func (b *Balancer) readPlatform(ctx context.Context) {
-	if _, err := b.load(ctx); err != nil {
+// loadFromPlatform is the fallback of a process that no peer answers.
+func (b *Balancer) loadFromPlatform(ctx context.Context) {
+	if _, err := b.loadConfiguration(ctx); err != nil {
 		b.deps.Log.Warn().Str("event", "platform").Err(err).Msg("no configuration from peers or platform yet")
 	}
 }
 
-// roster reads the other balancers from the platform and puts this one there.
-func (b *Balancer) roster(ctx context.Context) []netip.AddrPort {
+// syncRoster lists the other balancers in the platform's store and writes the entry
+// of this one.
+func (b *Balancer) syncRoster(ctx context.Context) []netip.AddrPort {
 	list, err := b.deps.Store.List(ctx, platform.Processes)
 	if err != nil {
 		return nil
 	}
 	var peers []netip.AddrPort
-	var mine *platform.Object
+	var own *platform.Object
 	for _, o := range list.Items {
-		var r Rostered
+		var r RosterEntry
 		if json.Unmarshal(o.Spec, &r) != nil {
 			continue
 		}
 		if o.Metadata.Name == b.settings.Name {
-			mine = &o
+			own = &o
 			continue
 		}
 		peers = append(peers, r.Control)
 	}
-	b.enroll(ctx, mine)
+	b.writeRosterEntry(ctx, own)
 	return peers
 }
 
-func (b *Balancer) enroll(ctx context.Context, mine *platform.Object) {
-	entry := Rostered{Control: b.self.Control, Domain: b.settings.Domain}
+func (b *Balancer) writeRosterEntry(ctx context.Context, own *platform.Object) {
+	entry := RosterEntry{Control: b.self.Control, Domain: b.settings.Domain}
 	var err error
-	if mine == nil {
+	if own == nil {
 		_, err = b.deps.Store.Create(ctx, platform.Processes, b.settings.Name, entry)
 	} else {
-		mine.Spec, _ = json.Marshal(entry)
-		_, err = b.deps.Store.Update(ctx, platform.Processes, *mine)
+		own.Spec, _ = json.Marshal(entry)
+		_, err = b.deps.Store.Update(ctx, platform.Processes, *own)
 	}
 	if err != nil {
-		// Peers name this balancer too; the roster is for first contact.
+		// Peers also propagate this balancer; the roster serves discovery only.
 		b.deps.Log.Debug().Str("event", "roster").Err(err).Msg("roster entry not written")
 	}
 }
 
-// forgetRoster takes this balancer out of the roster.
-func (b *Balancer) forgetRoster(ctx context.Context) {
+// removeRosterEntry deletes this balancer's entry.
+func (b *Balancer) removeRosterEntry(ctx context.Context) {
 	o, err := b.deps.Store.Get(ctx, platform.Processes, b.settings.Name)
 	if err != nil {
 		return
--- a/internal/process/balancer/sync.go
+++ b/internal/process/balancer/sync.go
@@ -11,9 +11,9 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// syncWith compares configuration and members with a peer and brings both
-// sides to the same. It repairs what pushes lost, and is how a new process
-// learns everything.
+// syncWith compares configuration and members with a peer and updates both sides
+// to the same state. It repairs lost pushes, and a new process gets its whole
+// state by it.
 func (b *Balancer) syncWith(ctx context.Context, peer netip.AddrPort) error {
 	b.mu.Lock()
 	request := &wire.Sync{From: b.settings.Name, Version: b.book.Version(), Digest: b.table.Digest()}
@@ -22,30 +22,30 @@
 	if err := b.call(ctx, peer, control.Sync, request, &reply); err != nil {
 		return err
 	}
-	b.takeSynced(&reply)
-	b.catchUp(ctx, peer, &reply)
+	b.applySynced(&reply)
+	b.sendMissingDeltas(ctx, peer, &reply)
 	if len(reply.Buckets) == 0 {
 		return nil
 	}
-	return b.exchange(ctx, peer, reply.Buckets)
+	return b.exchangeMembers(ctx, peer, reply.Buckets)
 }
 
-// takeSynced takes the configuration of a peer that is ahead.
-func (b *Balancer) takeSynced(reply *wire.Synced) {
+// applySynced applies the configuration of a peer that is ahead.
+func (b *Balancer) applySynced(reply *wire.Synced) {
 	var deltas []*config.Delta
 	if len(reply.Deltas) > 0 && json.Unmarshal(reply.Deltas, &deltas) == nil {
 		for _, d := range deltas {
-			b.takeDelta(d)
+			b.applyDelta(d)
 		}
 	}
 	var state config.State
 	if len(reply.State) > 0 && json.Unmarshal(reply.State, &state) == nil {
-		b.takeState(&state)
+		b.applyState(&state)
 	}
 }
 
-// catchUp pushes to a peer that is behind what it lacks.
-func (b *Balancer) catchUp(ctx context.Context, peer netip.AddrPort, reply *wire.Synced) {
+// sendMissingDeltas pushes the deltas that it lacks to a peer that is behind.
+func (b *Balancer) sendMissingDeltas(ctx context.Context, peer netip.AddrPort, reply *wire.Synced) {
 	b.mu.Lock()
 	var deltas []*config.Delta
 	if reply.Version < b.book.Version() {
@@ -53,15 +53,15 @@
 	}
 	b.mu.Unlock()
 	for _, d := range deltas {
-		n := news{delta: d}
-		if b.call(ctx, peer, control.Push, n.wire(b.settings.Name), &wire.Empty{}) != nil {
+		u := update{delta: d}
+		if b.call(ctx, peer, control.Push, u.message(b.settings.Name), &wire.Empty{}) != nil {
 			return
 		}
 	}
 }
 
-// exchange swaps the members of the buckets that differ.
-func (b *Balancer) exchange(ctx context.Context, peer netip.AddrPort, digests []uint64) error {
+// exchangeMembers exchanges the members of the buckets that differ.
+func (b *Balancer) exchangeMembers(ctx context.Context, peer netip.AddrPort, digests []uint64) error {
 	b.mu.Lock()
 	buckets := b.table.Differ(digests)
 	request := &wire.Exchange{Buckets: buckets, Hashes: b.table.Hashes(buckets)}
@@ -73,7 +73,7 @@
 	if err := b.call(ctx, peer, control.Exchange, request, &reply); err != nil {
 		return err
 	}
-	b.takeMembers(reply.Members)
+	b.mergeMembers(reply.Members)
 	if len(reply.Wanted) == 0 {
 		return nil
 	}
@@ -83,8 +83,8 @@
 	return b.call(ctx, peer, control.Push, wanted, &wire.Empty{})
 }
 
-// exchanged answers a peer's exchange.
-func (b *Balancer) exchanged(r *wire.Exchange) *wire.Exchanged {
+// handleExchange handles a peer's exchange.
+func (b *Balancer) handleExchange(r *wire.Exchange) *wire.Exchanged {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	lacking, missing := b.table.Compare(r.Buckets, r.Hashes)
@@ -99,13 +99,13 @@
 	return out
 }
 
-// synced answers a peer's comparison.
-func (b *Balancer) synced(r *wire.Sync) *wire.Synced {
+// handleSync handles a peer's sync.
+func (b *Balancer) handleSync(r *wire.Sync) *wire.Synced {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	reply := &wire.Synced{Version: b.book.Version(), Digest: b.table.Digest()}
 	if r.Version < reply.Version {
-		b.fillConfiguration(reply, r.Version)
+		b.addConfiguration(reply, r.Version)
 	}
 	if r.Digest != reply.Digest {
 		reply.Buckets = b.table.Digests()
@@ -113,7 +113,7 @@
 	return reply
 }
 
-func (b *Balancer) fillConfiguration(reply *wire.Synced, from uint64) {
+func (b *Balancer) addConfiguration(reply *wire.Synced, from uint64) {
 	if deltas, ok := b.book.Since(from); ok {
 		reply.Deltas, _ = json.Marshal(deltas)
 		return
@@ -121,54 +121,54 @@
 	reply.State, _ = json.Marshal(b.book.State())
 }
 
-// takeDelta takes the next version and passes it on. behind tells that
-// something in between is missing.
-func (b *Balancer) takeDelta(d *config.Delta) (behind bool) {
+// applyDelta applies the next version and propagates it. behind reports that a
+// version before it is missing.
+func (b *Balancer) applyDelta(d *config.Delta) (behind bool) {
 	b.mu.Lock()
-	took, behind := b.book.Offer(d)
-	if took {
-		b.inForce()
+	applied, behind := b.book.Offer(d)
+	if applied {
+		b.activateVersion()
 	}
 	b.mu.Unlock()
-	if took {
-		b.tell(news{delta: d})
+	if applied {
+		b.queueUpdate(update{delta: d})
 	}
 	return behind
 }
 
-// takeState takes a whole configuration, if it is a later one.
-func (b *Balancer) takeState(s *config.State) {
+// applyState applies a whole configuration, if it is a later one.
+func (b *Balancer) applyState(s *config.State) {
 	b.mu.Lock()
-	d, took := b.book.Replace(s)
-	if took {
-		b.inForce()
+	d, applied := b.book.Replace(s)
+	if applied {
+		b.activateVersion()
 	}
 	b.mu.Unlock()
-	if took {
-		b.tell(news{delta: d})
+	if applied {
+		b.queueUpdate(update{delta: d})
 	}
 }
 
-// inForce brings a new version into force. It runs with mu held.
-func (b *Balancer) inForce() {
+// activateVersion puts a new version into force. It is called with mu held.
+func (b *Balancer) activateVersion() {
 	b.count.applied.Inc(1)
 	state := b.book.State()
-	b.bind(state)
-	b.versionChanged()
+	b.bindEdges(state)
+	b.rebuildSnapshot()
 	b.deps.Log.Info().Str("event", "version").Uint64("version", state.Root.Version).Msg("configuration in force")
 	if b.deps.OnVersion != nil {
 		b.deps.OnVersion(state.Root.Version)
 	}
 }
 
-// bulk is from how many records on what a process learns at once is no news: it
-// joins, or comes back from a cut. Passed on, each joining balancer would push the
-// whole table to its neighbours, which have it; the comparisons bring them what
-// they lack.
-const bulk = 128
+// bulkRecords is the number of new records at once from which on they are not
+// propagated: the process is joining, or returning from a network partition. Else
+// each joining balancer would push the whole table to its neighbours, which have
+// it; syncs deliver what they lack.
+const bulkRecords = 128
 
-// takeMembers merges records and passes on those that are news.
-func (b *Balancer) takeMembers(all []*wire.Member) {
+// mergeMembers merges records and propagates those that are new.
+func (b *Balancer) mergeMembers(all []*wire.Member) {
 	b.mu.Lock()
 	var fresh []member.Member
 	for _, w := range all {
@@ -177,17 +177,18 @@
 			b.count.malformed.Inc(1)
 			continue
 		}
-		fresh = append(fresh, b.merge(m)...)
+		fresh = append(fresh, b.mergeMember(m)...)
 	}
-	b.membersChanged(fresh)
+	b.updateSnapshot(fresh)
 	b.mu.Unlock()
-	if len(fresh) > 0 && len(fresh) < bulk {
-		b.tell(news{members: fresh})
+	if len(fresh) > 0 && len(fresh) < bulkRecords {
+		b.queueUpdate(update{members: fresh})
 	}
 }
 
-// merge takes one record, with mu held, and returns what is to be told.
-func (b *Balancer) merge(m member.Member) []member.Member {
+// mergeMember merges one record and returns the records to propagate. It is called
+// with mu held.
+func (b *Balancer) mergeMember(m member.Member) []member.Member {
 	if m.Key == b.self.Key {
 		return b.refute(m)
 	}
@@ -197,9 +198,9 @@
 	return []member.Member{m}
 }
 
-// refute answers a record of this process that it did not write: a suspicion,
-// or what an earlier process of the name left behind. The earlier one may have
-// written the very numbers that this one starts with, so contents count too.
+// refute overrides a record of this process that it did not write: a suspicion,
+// or a record of an earlier process of the same name. The earlier one may have
+// used the same numbers that this one starts with, so contents are compared too.
 func (b *Balancer) refute(m member.Member) []member.Member {
 	newer := member.Newer(&m, &b.self)
 	if !newer && (member.Newer(&b.self, &m) || m.Equal(&b.self)) {
--- a/internal/process/balancer/tick.go
+++ b/internal/process/balancer/tick.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// idleHeartbeat is used until the first configuration arrives.
-	idleHeartbeat = 200 * clock.Millis(1)
-	// syncEvery, housekeepEvery and heal count in heartbeats.
-	syncEvery      = 4
-	housekeepEvery = 20
-	healEvery      = 10
-	// retainIdle is the retention before the first configuration.
-	retainIdle = clock.Minute
+	// initialHeartbeat is used until the first configuration arrives.
+	initialHeartbeat = 200 * clock.Millis(1)
+	// syncEvery, housekeepEvery and syncSuspectedEvery are in heartbeats.
+	syncEvery          = 4
+	housekeepEvery     = 20
+	syncSuspectedEvery = 10
+	// initialRetention is used until the first configuration arrives.
+	initialRetention = clock.Minute
 )
 
-// tick is the balancer's slow path: it looks for late targets, compares with
-// one neighbour after the other, and keeps the table small.
-func (b *Balancer) tick(ctx context.Context) {
+// runTicker runs the balancer's periodic work: it probes overdue targets, syncs
+// with one neighbour after the other, and removes expired members.
+func (b *Balancer) runTicker(ctx context.Context) {
 	for n := 0; ; n++ {
 		timing := b.timing()
 		select {
@@ -33,19 +33,19 @@
 		case <-after(timing.Heartbeat):
 		}
 		now := b.deps.Clock.Now()
-		for _, m := range b.overdue(now, timing) {
+		for _, m := range b.overdueTargets(now, timing) {
 			b.run(ctx, func(ctx context.Context) { b.probe(ctx, m) })
 		}
 		if n%syncEvery == 0 || b.Version() == 0 {
-			b.syncNext(ctx)
+			b.syncNextNeighbour(ctx)
 		}
-		if n%healEvery == 0 {
-			b.heal(ctx)
+		if n%syncSuspectedEvery == 0 {
+			b.syncSuspected(ctx)
 		}
 		if n%housekeepEvery == 0 {
 			b.housekeep(now, timing)
 		}
-		b.relay(ctx)
+		b.updateRelay(ctx)
 	}
 }
 
@@ -54,32 +54,32 @@
 	defer b.mu.Unlock()
 	t := b.book.State().Root.Timing
 	if t.Heartbeat <= 0 {
-		return config.Timing{Heartbeat: idleHeartbeat, Suspect: 4 * clock.Second, Retain: retainIdle}
+		return config.Timing{Heartbeat: initialHeartbeat, Suspect: 4 * clock.Second, Retain: initialRetention}
 	}
 	return t
 }
 
 func (b *Balancer) housekeep(now clock.Millis, timing config.Timing) {
-	b.adoptOrphans(now)
+	b.trackUnheardTargets(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	gone := b.table.Expire(now, timing.Retain)
-	for _, m := range gone {
-		b.deps.Log.Info().Str("event", "forgotten").Str("service", m.Service).Str("name", m.Name).Msg("retention has passed")
+	expired := b.table.Expire(now, timing.Retain)
+	for _, m := range expired {
+		b.deps.Log.Info().Str("event", "forgotten").Str("service", m.Service).Str("name", m.Name).Msg("member removed after its retention")
 	}
-	b.membersChanged(gone)
+	b.updateSnapshot(expired)
 }
 
-// syncNext compares with the next neighbour, and suspects one that answers
+// syncNextNeighbour syncs with the next neighbour, and suspects one that answers
 // neither that nor a second call on a new connection.
-func (b *Balancer) syncNext(ctx context.Context) {
+func (b *Balancer) syncNextNeighbour(ctx context.Context) {
 	neighbours := b.neighbours()
 	if len(neighbours) == 0 {
 		b.join(ctx)
 		return
 	}
-	b.next++
-	peer := neighbours[b.next%len(neighbours)]
+	b.nextNeighbour++
+	peer := neighbours[b.nextNeighbour%len(neighbours)]
 	err := b.syncWith(ctx, peer.Control)
 	if err == nil {
 		b.count.synced.Inc(1)
@@ -94,9 +94,9 @@
 	}
 }
 
-// heal tries a suspected balancer now and then. Two halves of a cut network
-// suspect each other, and nobody would otherwise notice that it is over.
-func (b *Balancer) heal(ctx context.Context) {
+// syncSuspected syncs with a random suspected balancer. The two sides of a network
+// partition suspect each other and would not otherwise notice that it has ended.
+func (b *Balancer) syncSuspected(ctx context.Context) {
 	b.mu.Lock()
 	suspected := b.table.All(func(m *member.Member) bool {
 		return m.Kind == member.Balancer && m.Suspected && m.Name != b.settings.Name
@@ -109,13 +109,13 @@
 	b.run(ctx, func(ctx context.Context) { _ = b.syncWith(ctx, peer.Control) })
 }
 
-// join learns from the first peer that answers; the platform names more peers
-// and the configuration where none does.
+// join syncs with the first peer that answers. The platform provides more peers,
+// and the configuration where none answers.
 func (b *Balancer) join(ctx context.Context) {
 	b.mu.Lock()
 	b.table.Merge(b.deps.Clock.Now(), b.self)
 	b.mu.Unlock()
-	for _, p := range append(b.settings.Peers, b.roster(ctx)...) {
+	for _, p := range append(b.settings.Peers, b.syncRoster(ctx)...) {
 		if p == b.self.Control {
 			continue
 		}
@@ -126,21 +126,21 @@
 		}
 	}
 	if b.Version() == 0 {
-		b.readPlatform(ctx)
+		b.loadFromPlatform(ctx)
 	}
 	b.mu.Lock()
 	self := b.self
 	b.mu.Unlock()
-	b.tell(news{members: []member.Member{self}})
+	b.queueUpdate(update{members: []member.Member{self}})
 }
 
-// leave says that this balancer stops soon.
-func (b *Balancer) leave() {
+// setLeaving propagates that this balancer is about to stop.
+func (b *Balancer) setLeaving() {
 	b.mu.Lock()
 	b.self.State = member.Leaving
 	b.self.Sequence++
 	b.table.Merge(b.deps.Clock.Now(), b.self)
 	self := b.self
 	b.mu.Unlock()
-	b.tell(news{members: []member.Member{self}})
+	b.queueUpdate(update{members: []member.Member{self}})
 }
--- a/internal/process/balancer/tunnel.go
+++ b/internal/process/balancer/tunnel.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// leaveTimes is how often a leave is said while the balancer lingers.
-	leaveTimes = 3
+	// leaveRepeats is how many times a leave is sent while the balancer lingers.
+	leaveRepeats = 3
 )
 
 // tunnel is one socket towards the agents.
@@ -63,13 +63,13 @@
 func (b *Balancer) serveTunnels() {
 	for _, t := range b.tunnels {
 		for range b.settings.Workers {
-			b.parts.Go(func() { b.serveTunnel(t) })
+			b.background.Go(func() { b.serveTunnel(t) })
 		}
 	}
 }
 
 func (b *Balancer) serveTunnel(t *tunnel) {
-	w := newWorker()
+	w := newWorkerBuffers()
 	opener := envelope.NewOpener(b.deps.Ring)
 	for {
 		n, from, err := t.conn.ReadFromUDPAddrPort(w.in[:])
@@ -80,18 +80,18 @@
 			continue
 		}
 		if err := opener.Open(&w.envelope, w.in[:n]); err != nil {
-			b.reject(err)
+			b.countInvalid(err)
 			continue
 		}
 		if w.envelope.Kind == wire.Kind_KIND_BEAT {
-			b.queueBeat(&w.envelope, t, from)
+			b.queueHeartbeat(&w.envelope, t, from)
 			continue
 		}
-		b.receive(&w.envelope)
+		b.dispatch(&w.envelope)
 	}
 }
 
-func (b *Balancer) reject(err error) {
+func (b *Balancer) countInvalid(err error) {
 	if errors.Is(err, envelope.ErrForged) {
 		b.count.forged.Inc(1)
 		return
@@ -99,12 +99,12 @@
 	b.count.malformed.Inc(1)
 }
 
-// receive takes what an agent sent.
-func (b *Balancer) receive(e *wire.Envelope) {
+// dispatch handles an envelope of an agent.
+func (b *Balancer) dispatch(e *wire.Envelope) {
 	caller := envelope.Caller(e.Caller)
 	switch e.Kind {
 	case wire.Kind_KIND_RETURN:
-		b.answer(e, caller)
+		b.returnToCaller(e, caller)
 	case wire.Kind_KIND_HINT:
 		b.paths.Heard(e.Target)
 		b.hints.Confirm(b.deps.Clock.Now(), e.Service, caller, e.Caller, e.Target, e.Incarnation)
@@ -113,8 +113,8 @@
 	}
 }
 
-func (b *Balancer) answer(e *wire.Envelope, caller netip.AddrPort) {
-	edge, ok := b.edge(e.Service)
+func (b *Balancer) returnToCaller(e *wire.Envelope, caller netip.AddrPort) {
+	edge, ok := b.edgeOf(e.Service)
 	if !ok {
 		b.count.unserved.Inc(1)
 		return
@@ -129,35 +129,35 @@
 	b.count.returned.Inc(1)
 }
 
-// sayLeave tells the agents a few times that this balancer stops soon, and
-// serves on meanwhile. A datagram may be lost; three in a row rarely are, and
-// who missed all of them answers through another balancer at the flow's next
-// datagram.
-func (b *Balancer) sayLeave(ctx context.Context, linger clock.Millis) {
-	for range leaveTimes {
-		b.sayLeaveOnce()
+// sendLeaves tells the agents several times that this balancer is about to stop,
+// while it keeps serving. A datagram may be lost; three in a row rarely are, and
+// an agent that missed all of them answers through another balancer at the flow's
+// next datagram.
+func (b *Balancer) sendLeaves(ctx context.Context, linger clock.Millis) {
+	for range leaveRepeats {
+		b.sendLeave()
 		select {
 		case <-ctx.Done():
 			return
-		case <-after(linger / leaveTimes):
+		case <-after(linger / leaveRepeats):
 		}
 	}
 }
 
-func (b *Balancer) sayLeaveOnce() {
+func (b *Balancer) sendLeave() {
 	out, err := b.sealer.Seal(nil, &wire.Envelope{Kind: wire.Kind_KIND_LEAVE})
 	if err != nil {
 		return
 	}
-	for _, to := range b.agents() {
+	for _, to := range b.agentAddresses() {
 		for _, t := range b.tunnels {
 			_ = t.write(out, to)
 		}
 	}
 }
 
-// agents returns where the agents take envelopes.
-func (b *Balancer) agents() []netip.AddrPort {
+// agentAddresses returns the tunnel addresses of the agents.
+func (b *Balancer) agentAddresses() []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []netip.AddrPort
--- a/internal/process/balancer/view.go
+++ b/internal/process/balancer/view.go
@@ -8,32 +8,32 @@
 	"github.com/wagtailtray/wagtailtray/internal/version/config"
 )
 
-// stamp tells whether what a service's targets are told may have changed.
-type stamp struct {
-	version, balancers, service uint64
+// viewRevision differs when the view of a service's targets may have changed.
+type viewRevision struct {
+	version, balancerChanges, serviceChanges uint64
 }
 
-// stamp returns the present stamp of a service. It runs with mu held.
-func (b *Balancer) stamp(service string) stamp {
-	return stamp{version: b.book.Version(), balancers: b.balancersChanged, service: b.serviceChanged[service]}
+// viewRevision returns the current revision of a service. It is called with mu held.
+func (b *Balancer) viewRevision(service string) viewRevision {
+	return viewRevision{version: b.book.Version(), balancerChanges: b.balancerChanges, serviceChanges: b.serviceChanges[service]}
 }
 
-// versionChanged makes the snapshot of all services anew. It runs with mu held,
-// as the next one does.
-func (b *Balancer) versionChanged() {
+// rebuildSnapshot rebuilds the snapshot of all services. It is called with mu held,
+// and so is updateSnapshot.
+func (b *Balancer) rebuildSnapshot() {
 	state := b.book.State()
 	s := &snapshot{sets: make(map[uint32]*target.Set, len(state.Root.Services))}
-	b.byBeat = map[beaten]member.Key{}
+	b.targetKeys = map[heartbeatKey]member.Key{}
 	for _, e := range state.Root.Services {
-		s.sets[e.Number] = b.makeSet(state, e)
+		s.sets[e.Number] = b.buildTargetSet(state, e)
 	}
 	b.snapshot.Store(s)
 }
 
-// membersChanged replaces the parts of the snapshot that some records belong
-// to. After a failure domain has restarted, hundreds of records change within
-// seconds; making everything anew for each would take a good part of a core.
-func (b *Balancer) membersChanged(records []member.Member) {
+// updateSnapshot rebuilds the parts of the snapshot that the records belong to.
+// After a failure domain has restarted, hundreds of records change within
+// seconds; a full rebuild for each would take a large part of a core.
+func (b *Balancer) updateSnapshot(records []member.Member) {
 	if len(records) == 0 {
 		return
 	}
@@ -42,23 +42,23 @@
 	for i := range records {
 		m := &records[i]
 		if m.Kind == member.Balancer {
-			b.balancersChanged++
+			b.balancerChanges++
 			continue
 		}
-		b.serviceChanged[m.Service]++
+		b.serviceChanges[m.Service]++
 		if service, ok := state.Service(m.Service); ok {
-			next.sets[service.Number] = b.makeSet(state, config.Entry{Name: m.Service, Number: service.Number})
+			next.sets[service.Number] = b.buildTargetSet(state, config.Entry{Name: m.Service, Number: service.Number})
 		}
 	}
 	b.snapshot.Store(next)
 }
 
-// makeSet returns a service's targets for the packet path, and lets their
-// beats be found.
-func (b *Balancer) makeSet(state *config.State, e config.Entry) *target.Set {
+// buildTargetSet returns a service's targets for the packet path, and indexes the
+// keys of their heartbeats.
+func (b *Balancer) buildTargetSet(state *config.State, e config.Entry) *target.Set {
 	var all []target.Candidate
 	for _, m := range b.table.Service(e.Name) {
-		b.byBeat[beaten{service: e.Number, target: target.IDOf(m.Name)}] = m.Key
+		b.targetKeys[heartbeatKey{service: e.Number, target: target.IDOf(m.Name)}] = m.Key
 		if c, ok := candidate(state, &m.Member); ok {
 			all = append(all, c)
 		}
@@ -70,8 +70,8 @@
 	return m.Kind == member.Target
 }
 
-// candidate returns a target as the packet path sees it. A target that the
-// operators do not admit to the service is none.
+// candidate returns a target as the packet path uses it, or false for one that has
+// left or that the operators do not admit to the service.
 func candidate(state *config.State, m *member.Member) (target.Candidate, bool) {
 	service, ok := state.Service(m.Service)
 	if !ok || !service.Admits(m.Upstream.Addr()) || m.State == member.Left {
--- a/internal/process/control/client.go
+++ b/internal/process/control/client.go
@@ -18,21 +18,21 @@
 
 // maxKept bounds the connections that a client keeps. A process talks to a few
 // contacts all the time and to a random peer now and then.
-const maxKept = 16
+const maxCachedConns = 16
 
 // kept is one connection with the calls that use it.
 //
 // A connection that is not kept any more is closed by its last call, so that no call
 // fails because another peer needed the room. Client.mu guards it.
-type kept struct {
+type cachedConn struct {
 	conn    *jsonrpc2.Conn
 	calls   int
-	dropped bool
+	evicted bool
 }
 
 // done closes a connection that is not kept when no call uses it.
-func (k *kept) done() {
-	if k.dropped && k.calls == 0 {
+func (k *cachedConn) closeIfUnused() {
+	if k.evicted && k.calls == 0 {
 		_ = k.conn.Close()
 	}
 }
@@ -41,18 +41,18 @@
 type Client struct {
 	config *tls.Config
 	mu     sync.Mutex
-	conns  *simplelru.LRU[netip.AddrPort, *kept]
+	conns  *simplelru.LRU[netip.AddrPort, *cachedConn]
 }
 
 // NewClient returns a client without connections.
 func NewClient(ring key.Ring) (*Client, error) {
-	config, err := settings(ring)
+	config, err := tlsConfig(ring)
 	if err != nil {
 		return nil, err
 	}
-	conns, err := simplelru.NewLRU(maxKept, func(_ netip.AddrPort, k *kept) {
-		k.dropped = true
-		k.done()
+	conns, err := simplelru.NewLRU(maxCachedConns, func(_ netip.AddrPort, k *cachedConn) {
+		k.evicted = true
+		k.closeIfUnused()
 	})
 	if err != nil {
 		return nil, errs.Wrap(err)
@@ -63,7 +63,7 @@
 // Call makes one call and waits for its reply. An error that is ErrRefused
 // came from the peer; any other leaves open whether the call ran.
 func (c *Client) Call(ctx context.Context, address netip.AddrPort, m Method, params, reply any) error {
-	k, err := c.use(ctx, address)
+	k, err := c.acquire(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 }
 
 // use returns a connection for one call.
-func (c *Client) use(ctx context.Context, address netip.AddrPort) (*kept, error) {
+func (c *Client) acquire(ctx context.Context, address netip.AddrPort) (*cachedConn, error) {
 	c.mu.Lock()
 	if k, ok := c.conns.Get(address); ok {
 		k.calls++
@@ -94,8 +94,8 @@
 		return nil, errs.Wrap(err)
 	}
 	// The connection outlives the call that made it.
-	k := &kept{conn: jsonrpc2.NewConn(context.Background(), stream(raw), jsonrpc2.HandlerWithError(nothing), quiet), calls: 1}
-	c.keep(address, k)
+	k := &cachedConn{conn: jsonrpc2.NewConn(context.Background(), newObjectStream(raw), jsonrpc2.HandlerWithError(rejectCall), silentLogger), calls: 1}
+	c.cache(address, k)
 	return k, nil
 }
 
@@ -109,30 +109,30 @@
 }
 
 // release ends a call's use. A connection on which a call failed is not kept.
-func (c *Client) release(address netip.AddrPort, k *kept, failed bool) {
+func (c *Client) release(address netip.AddrPort, k *cachedConn, failed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.calls--
 	if failed {
-		c.forget(address, k)
+		c.evict(address, k)
 	}
-	k.done()
+	k.closeIfUnused()
 }
 
 // forget stops keeping a connection. It runs with mu held.
-func (c *Client) forget(address netip.AddrPort, k *kept) {
+func (c *Client) evict(address netip.AddrPort, k *cachedConn) {
 	if now, ok := c.conns.Peek(address); ok && now == k {
 		c.conns.Remove(address)
 	}
-	k.dropped = true
+	k.evicted = true
 }
 
 // nothing refuses calls from a server to its client.
-func nothing(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-	return nil, ErrMethod
+func rejectCall(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
+	return nil, ErrUnknownMethod
 }
 
-func (c *Client) keep(address netip.AddrPort, k *kept) {
+func (c *Client) cache(address netip.AddrPort, k *cachedConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Two calls may have dialled at once; the later connection stays.
@@ -142,7 +142,7 @@
 		<-k.conn.DisconnectNotify()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.forget(address, k)
+		c.evict(address, k)
 		_ = k.conn.Close()
 	}()
 }
@@ -155,7 +155,7 @@
 }
 
 // Read decodes the parameters of a call.
-func Read[T any](params json.RawMessage) (*T, error) {
+func DecodeParams[T any](params json.RawMessage) (*T, error) {
 	var v T
 	if len(params) == 0 {
 		return &v, nil
--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -34,9 +34,9 @@
 
 // Errors of this package.
 var (
-	ErrForeign = errs.New("control: peer does not hold a key of this deployment")
-	ErrMethod  = errs.New("control: no such method")
-	ErrRefused = errs.New("control: the peer refused the call")
+	ErrForeignKey    = errs.New("control: peer does not hold a key of this deployment")
+	ErrUnknownMethod = errs.New("control: no such method")
+	ErrRefused       = errs.New("control: the peer refused the call")
 )
 
 // Method names a call.
@@ -62,9 +62,9 @@
 	maxInbound = 2048
 	// idleLimit is how long a connection may be silent before its server
 	// closes it, so that dead peers do not hold places.
-	idleLimit = time.Minute
+	idleTimeout = time.Minute
 	// handling bounds the calls of one connection that run at once.
-	handling = 4
+	maxConcurrentCalls = 4
 )
 
 // Handler answers calls. The reply is encoded as JSON.
@@ -84,7 +84,7 @@
 
 // Serve listens on an address until Close.
 func Serve(ctx context.Context, address netip.AddrPort, ring key.Ring, h Handler) (*Server, error) {
-	config, err := settings(ring)
+	config, err := tlsConfig(ring)
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	c := jsonrpc2.NewConn(ctx, stream(&idleConn{Conn: conn}), bounded(jsonrpc2.HandlerWithError(s.handle)), quiet)
+	c := jsonrpc2.NewConn(ctx, newObjectStream(&idleConn{Conn: conn}), limitConcurrency(jsonrpc2.HandlerWithError(s.handle)), silentLogger)
 	s.mu.Lock()
 	s.conns[c] = true
 	s.mu.Unlock()
@@ -161,25 +161,25 @@
 	return s.handler.Handle(ctx, Method(r.Method), params)
 }
 
-func stream(conn net.Conn) jsonrpc2.ObjectStream {
+func newObjectStream(conn net.Conn) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewPlainObjectStream(conn)
 }
 
 // bounded runs up to a few calls of a connection at once; further ones wait
 // unread in the connection.
-func bounded(h jsonrpc2.Handler) jsonrpc2.Handler {
-	return &boundedHandler{next: h, places: make(chan struct{}, handling)}
+func limitConcurrency(h jsonrpc2.Handler) jsonrpc2.Handler {
+	return &concurrencyLimiter{next: h, slots: make(chan struct{}, maxConcurrentCalls)}
 }
 
-type boundedHandler struct {
-	next   jsonrpc2.Handler
-	places chan struct{}
+type concurrencyLimiter struct {
+	next  jsonrpc2.Handler
+	slots chan struct{}
 }
 
-func (b *boundedHandler) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
-	b.places <- struct{}{}
+func (b *concurrencyLimiter) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
+	b.slots <- struct{}{}
 	go func() {
-		defer func() { <-b.places }()
+		defer func() { <-b.slots }()
 		b.next.Handle(ctx, c, r)
 	}()
 }
@@ -190,10 +190,10 @@
 }
 
 func (c *idleConn) Read(p []byte) (int, error) {
-	_ = c.SetReadDeadline(time.Now().Add(idleLimit))
+	_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
 	return c.Conn.Read(p)
 }
 
 // quiet keeps the library from writing to standard error on its own: a reply
 // to a connection that has ended is nothing that an operator could act on.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+var silentLogger = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
--- a/internal/process/control/control_test.go
+++ b/internal/process/control/control_test.go
@@ -13,20 +13,20 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-type echo struct{}
+type syncHandler struct{}
 
-func (echo) Handle(_ context.Context, m control.Method, params json.RawMessage) (any, error) {
+func (syncHandler) Handle(_ context.Context, m control.Method, params json.RawMessage) (any, error) {
 	if m != control.Sync {
-		return nil, control.ErrMethod
+		return nil, control.ErrUnknownMethod
 	}
-	r, err := control.Read[wire.Sync](params)
+	r, err := control.DecodeParams[wire.Sync](params)
 	if err != nil {
 		return nil, err
 	}
 	return &wire.Synced{Version: r.Version}, nil
 }
 
-func call(t *testing.T, address netip.AddrPort, keys string, m control.Method) (uint64, error) {
+func callOnce(t *testing.T, address netip.AddrPort, keys string, m control.Method) (uint64, error) {
 	ring, err := key.Parse(keys)
 	if err != nil {
 		t.Fatal(err)
@@ -51,27 +51,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := control.Serve(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"), ring, echo{})
+	s, err := control.Serve(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"), ring, syncHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	for _, keys := range []string{next, old + "," + next} {
-		if v, err := call(t, s.Address(), keys, control.Sync); err != nil || v != 7 {
+		if v, err := callOnce(t, s.Address(), keys, control.Sync); err != nil || v != 7 {
 			t.Errorf("version %d, %v", v, err)
 		}
 	}
-	if _, err := call(t, s.Address(), key.Generate(), control.Sync); err == nil {
+	if _, err := callOnce(t, s.Address(), key.Generate(), control.Sync); err == nil {
 		t.Error("a foreign key is served")
 	}
-	if _, err := call(t, s.Address(), next, control.Ping); !errors.Is(err, control.ErrRefused) {
+	if _, err := callOnce(t, s.Address(), next, control.Ping); !errors.Is(err, control.ErrRefused) {
 		t.Errorf("got %v", err)
 	}
 }
 
 // A process calls more peers at once than it keeps connections to. No call
 // fails for that: the peers are well, and would be suspected.
-func TestMoreCallsThanConnections(t *testing.T) {
+func TestMorePeersThanCachedConnections(t *testing.T) {
 	ring, err := key.Parse(key.Generate())
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	defer client.Close()
 	results := make(chan error, 2*peers)
 	for range peers {
-		s, err := control.Serve(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"), ring, slow{})
+		s, err := control.Serve(t.Context(), netip.MustParseAddrPort("127.0.0.1:0"), ring, slowHandler{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,9 +103,9 @@
 }
 
 // slow answers after all calls have been sent.
-type slow struct{}
+type slowHandler struct{}
 
-func (slow) Handle(context.Context, control.Method, json.RawMessage) (any, error) {
+func (slowHandler) Handle(context.Context, control.Method, json.RawMessage) (any, error) {
 	time.Sleep(200 * time.Millisecond)
 	return &wire.Empty{}, nil
 }
--- a/internal/process/control/identity.go
+++ b/internal/process/control/identity.go
@@ -15,16 +15,16 @@
 )
 
 // purpose separates the control identity from other uses of the key.
-const purpose = "control"
+const keyPurpose = "control"
 
 // validity is how long a process's certificate holds. It is made anew at each
 // start, and peers check its key, not its dates: VM clocks differ.
-const validity = 10 * 365 * 24 * time.Hour
+const certValidity = 10 * 365 * 24 * time.Hour
 
 // identity derives the key pair of the deployment's control connections.
 // Whoever has it holds the deployment key.
 func identity(k key.Key) ed25519.PrivateKey {
-	return ed25519.NewKeyFromSeed(k.Derive(purpose, ed25519.SeedSize))
+	return ed25519.NewKeyFromSeed(k.Derive(keyPurpose, ed25519.SeedSize))
 }
 
 func certificate(k key.Key) (tls.Certificate, error) {
@@ -33,7 +33,7 @@
 		SerialNumber: big.NewInt(1),
 		Subject:      pkix.Name{CommonName: "wagtailtray"},
 		NotBefore:    time.Unix(0, 0),
-		NotAfter:     time.Now().Add(validity),
+		NotAfter:     time.Now().Add(certValidity),
 	}
 	der, err := x509.CreateCertificate(nil, template, template, private.Public(), private)
 	if err != nil {
@@ -44,7 +44,7 @@
 
 // settings returns the TLS settings of both sides: each presents the first
 // key's certificate and accepts the certificate of any key of the ring.
-func settings(ring key.Ring) (*tls.Config, error) {
+func tlsConfig(ring key.Ring) (*tls.Config, error) {
 	cert, err := certificate(ring[0])
 	if err != nil {
 		return nil, err
@@ -66,16 +66,16 @@
 
 func verify(s tls.ConnectionState, accepted []ed25519.PublicKey) error {
 	if len(s.PeerCertificates) == 0 {
-		return ErrForeign
+		return ErrForeignKey
 	}
 	public, ok := s.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !ok {
-		return ErrForeign
+		return ErrForeignKey
 	}
 	for _, a := range accepted {
 		if bytes.Equal(a, public) {
 			return nil
 		}
 	}
-	return ErrForeign
+	return ErrForeignKey
 }
--- a/internal/process/operations/operations.go
+++ b/internal/process/operations/operations.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	reportEvery = time.Second
-	readTimeout = 5 * time.Second
+	reportInterval    = time.Second
+	readHeaderTimeout = 5 * time.Second
 )
 
 // Operations is the metrics of a process and the server that shows them.
@@ -45,7 +45,7 @@
 		Separator:      prometheus.DefaultSeparator,
 		// Metrics about the metrics are of no use to operators.
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return &Operations{scope: scope, closer: closer, reporter: reporter}
 }
 
@@ -73,7 +73,7 @@
 		}
 		_, _ = io.WriteString(w, "ready\n")
 	})
-	o.server = &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout}
+	o.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = o.server.Serve(listener) }()
 	return nil
 }
--- a/internal/process/tasks/crash.go
+++ b/internal/process/tasks/crash.go
@@ -10,10 +10,10 @@
 )
 
 // crashCode is the exit code of a process that a panic ends, as the runtime's own.
-const crashCode = 2
+const panicExitCode = 2
 
 // stackLines is how much of the stack is told: the frames around the cause.
-const stackLines = 40
+const maxStackLines = 40
 
 // crash ends the process after a panic in a part, with one line that tells its cause. It
 // must itself be deferred: called by another deferred function it would recover nothing.
@@ -22,7 +22,7 @@
 // packets wrongly. What a process knows is soft: the one that follows finds it anew. The
 // line goes past the log's buffer, which would be lost, and is short enough to be kept
 // where only the end of the output is.
-func crash(out io.Writer, exit func(code int)) {
+func exitOnPanic(out io.Writer, exit func(code int)) {
 	reason := recover()
 	if reason == nil {
 		return
@@ -36,6 +36,6 @@
 	}
 	log := zerolog.New(out)
 	log.Error().Str("event", "panic").Str("reason", fmt.Sprint(reason)).
-		Strs("stack", lines[:min(len(lines), stackLines)]).Msg("the process ends")
-	exit(crashCode)
+		Strs("stack", lines[:min(len(lines), maxStackLines)]).Msg("the process ends")
+	exit(panicExitCode)
 }
--- a/internal/process/tasks/crash_test.go
+++ b/internal/process/tasks/crash_test.go
@@ -9,11 +9,11 @@
 )
 
 // A decision panics. One line tells the reason and where it was, and the process ends.
-func TestCrashIsTold(t *testing.T) {
+func TestPanicIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	code := 0
 	func() {
-		defer func() { crash(&out, func(c int) { code = c }) }()
+		defer func() { exitOnPanic(&out, func(c int) { code = c }) }()
 		defer func() { _ = recover() }()
 		panicHere()
 	}()
@@ -21,7 +21,7 @@
 		t.Fatalf("without a panic: code %d, %s", code, out.String())
 	}
 	func() {
-		defer crash(&out, func(c int) { code = c })
+		defer exitOnPanic(&out, func(c int) { code = c })
 		panicHere()
 	}()
 	var line struct {
@@ -31,7 +31,7 @@
 	if err := json.Unmarshal(out.Bytes(), &line); err != nil {
 		t.Fatal(err)
 	}
-	if code != crashCode || line.Event != "panic" || !strings.Contains(line.Reason, "As4 called on IP zero value") {
+	if code != panicExitCode || line.Event != "panic" || !strings.Contains(line.Reason, "As4 called on IP zero value") {
 		t.Errorf("code %d, line %+v", code, line)
 	}
 	if !strings.Contains(strings.Join(line.Stack[:min(len(line.Stack), 6)], " "), "panicHere") {
@@ -41,13 +41,13 @@
 
 // A part of a process panics: the process ends with the line, not with the runtime's own
 // report of all that runs.
-func TestPartThatPanics(t *testing.T) {
+func TestPanicInTaskEndsProcess(t *testing.T) {
 	var out bytes.Buffer
 	code := 0
 	g := Group{out: &out, exit: func(c int) { code = c }}
 	g.Go(panicHere)
 	g.Wait()
-	if code != crashCode || !strings.Contains(out.String(), `"event":"panic"`) {
+	if code != panicExitCode || !strings.Contains(out.String(), `"event":"panic"`) {
 		t.Errorf("code %d, told %q", code, out.String())
 	}
 }
--- a/internal/process/tasks/tasks.go
+++ b/internal/process/tasks/tasks.go
@@ -39,7 +39,7 @@
 	g.wait.Add(1)
 	go func() {
 		defer g.wait.Done()
-		defer crash(g.output(), g.end())
+		defer exitOnPanic(g.output(), g.exitFunc())
 		part()
 	}()
 	return true
@@ -52,7 +52,7 @@
 	return g.out
 }
 
-func (g *Group) end() func(code int) {
+func (g *Group) exitFunc() func(code int) {
 	if g.exit == nil {
 		return os.Exit
 	}
--- a/internal/process/trace/trace.go
+++ b/internal/process/trace/trace.go
@@ -24,7 +24,7 @@
 )
 
 // size is that of a trace identifier and a span identifier.
-const size = 16 + 8
+const contextSize = 16 + 8
 
 // Tracer records hops.
 type Tracer struct {
@@ -77,7 +77,7 @@
 }
 
 func decode(b []byte) (oteltrace.SpanContext, bool) {
-	if len(b) != size {
+	if len(b) != contextSize {
 		return oteltrace.SpanContext{}, false
 	}
 	return oteltrace.NewSpanContext(oteltrace.SpanContextConfig{
