--- a/internal/process/balancer/view.go
+++ b/internal/process/balancer/view.go
@@ -10,12 +10,12 @@
 
 // viewRevision differs when the view of a service's targets may have changed.
 type viewRevision struct {
-	version, balancerChanges, serviceChanges uint64
+	version, balancers, service uint64
 }
 
 // viewRevision returns the current revision of a service. It is called with mu held.
 func (b *Balancer) viewRevision(service string) viewRevision {
-	return viewRevision{version: b.book.Version(), balancerChanges: b.balancerChanges, serviceChanges: b.serviceChanges[service]}
+	return viewRevision{version: b.book.Version(), balancers: b.balancerChanges, service: b.serviceChanges[service]}
 }
 
 // rebuildSnapshot rebuilds the snapshot of all services. It is called with mu held,
--- a/internal/process/control/client.go
+++ b/internal/process/control/client.go
@@ -16,28 +16,28 @@
 	"github.com/wagtailtray/wagtailtray/pkg/key"
 )
 
-// maxKept bounds the connections that a client keeps. A process talks to a few
-// contacts all the time and to a random peer now and then.
+// maxCachedConns bounds the connections that a client keeps open. A process calls a
+// few contacts all the time and a random peer now and then.
 const maxCachedConns = 16
 
-// kept is one connection with the calls that use it.
+// cachedConn is a connection with the number of calls that use it.
 //
-// A connection that is not kept any more is closed by its last call, so that no call
-// fails because another peer needed the room. Client.mu guards it.
+// An evicted connection is closed when its last call ends, so that no call fails
+// because a connection to another peer replaced it. Client.mu guards it.
 type cachedConn struct {
 	conn    *jsonrpc2.Conn
 	calls   int
 	evicted bool
 }
 
-// done closes a connection that is not kept when no call uses it.
+// closeIfUnused closes an evicted connection that no call uses.
 func (k *cachedConn) closeIfUnused() {
 	if k.evicted && k.calls == 0 {
 		_ = k.conn.Close()
 	}
 }
 
-// Client makes calls. It is safe for use by many goroutines.
+// Client makes calls. It is safe for concurrent use.
 type Client struct {
 	config *tls.Config
 	mu     sync.Mutex
@@ -60,8 +60,8 @@
 	return &Client{config: config, conns: conns}, nil
 }
 
-// Call makes one call and waits for its reply. An error that is ErrRefused
-// came from the peer; any other leaves open whether the call ran.
+// Call makes one call and waits for its reply. An error that is ErrRefused came
+// from the peer; with any other it is unknown whether the call ran.
 func (c *Client) Call(ctx context.Context, address netip.AddrPort, m Method, params, reply any) error {
 	k, err := c.acquire(ctx, address)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return errs.Wrap(err)
 }
 
-// use returns a connection for one call.
+// acquire returns a connection for one call.
 func (c *Client) acquire(ctx context.Context, address netip.AddrPort) (*cachedConn, error) {
 	c.mu.Lock()
 	if k, ok := c.conns.Get(address); ok {
@@ -99,8 +99,8 @@
 	return k, nil
 }
 
-// Drop stops keeping the connection to an address that will not be called again
-// soon, so that it does not hold a place at the peer: everybody who joins calls
+// Drop evicts the connection to an address that will not be called again soon, so
+// that it does not count towards the peer's limit: all processes that join call
 // the same few peers once.
 func (c *Client) Drop(address netip.AddrPort) {
 	c.mu.Lock()
@@ -108,7 +108,7 @@
 	c.conns.Remove(address)
 }
 
-// release ends a call's use. A connection on which a call failed is not kept.
+// release ends the use by a call. A connection on which a call failed is evicted.
 func (c *Client) release(address netip.AddrPort, k *cachedConn, failed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,15 +119,15 @@
 	k.closeIfUnused()
 }
 
-// forget stops keeping a connection. It runs with mu held.
+// evict removes a connection from the cache. It is called with mu held.
 func (c *Client) evict(address netip.AddrPort, k *cachedConn) {
-	if now, ok := c.conns.Peek(address); ok && now == k {
+	if current, ok := c.conns.Peek(address); ok && current == k {
 		c.conns.Remove(address)
 	}
 	k.evicted = true
 }
 
-// nothing refuses calls from a server to its client.
+// rejectCall rejects calls from a server to its client.
 func rejectCall(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
 	return nil, ErrUnknownMethod
 }
@@ -135,7 +135,7 @@
 func (c *Client) cache(address netip.AddrPort, k *cachedConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Two calls may have dialled at once; the later connection stays.
+	// Two calls may have dialled at once; the later connection is kept.
 	c.conns.Remove(address)
 	c.conns.Add(address, k)
 	go func() {
@@ -147,14 +147,14 @@
 	}()
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conns.Purge()
 }
 
-// Read decodes the parameters of a call.
+// DecodeParams decodes the parameters of a call.
 func DecodeParams[T any](params json.RawMessage) (*T, error) {
 	var v T
 	if len(params) == 0 {
--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -1,4 +1,4 @@
-// Package control carries the calls between the processes of a deployment:
+// Package control implements the calls between the processes of a deployment:
 // JSON-RPC over TCP, with TLS identities derived from the deployment key.
 //
 // # Usage
@@ -9,9 +9,9 @@
 //	c, err := control.NewClient(ring)
 //	err = c.Call(ctx, address, control.Sync, &request, &reply)
 //
-// A client keeps one connection to each address, and the number of kept
-// connections is bounded. A call that fails closes its connection; whether the
-// call ran is not known then, so every call of the system may be repeated.
+// A client caches one connection per address, up to a bound. A call that fails
+// closes its connection; whether it ran is not known then, so every call of the
+// system can be repeated safely.
 package control
 
 import (
@@ -55,19 +55,19 @@
 )
 
 const (
-	// dialTimeout bounds connecting and the handshake.
+	// dialTimeout bounds the connection setup and the handshake.
 	dialTimeout = 2 * time.Second
 	// maxInbound bounds the connections that a process serves. At the
-	// bound new ones wait; callers time out and turn to another process.
+	// bound new ones wait; clients time out and call another process.
 	maxInbound = 2048
-	// idleLimit is how long a connection may be silent before its server
-	// closes it, so that dead peers do not hold places.
+	// idleTimeout is how long a connection may be silent before its server
+	// closes it, so that dead peers do not count towards maxInbound.
 	idleTimeout = time.Minute
-	// handling bounds the calls of one connection that run at once.
+	// maxConcurrentCalls bounds the calls of one connection that run at once.
 	maxConcurrentCalls = 4
 )
 
-// Handler answers calls. The reply is encoded as JSON.
+// Handler handles calls. The reply is encoded as JSON.
 type Handler interface {
 	Handle(ctx context.Context, method Method, params json.RawMessage) (any, error)
 }
@@ -107,7 +107,7 @@
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Close ends all connections and waits for their ends.
+// Close closes all connections and waits until they have ended.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.listener.Close()
@@ -144,7 +144,7 @@
 	s.conns[c] = true
 	s.mu.Unlock()
 	if ctx.Err() != nil {
-		// Close may have run before this connection was in its list.
+		// Close may have run before this connection was in conns.
 		_ = c.Close()
 	}
 	<-c.DisconnectNotify()
@@ -165,8 +165,8 @@
 	return jsonrpc2.NewPlainObjectStream(conn)
 }
 
-// bounded runs up to a few calls of a connection at once; further ones wait
-// unread in the connection.
+// limitConcurrency runs up to maxConcurrentCalls calls of a connection at once;
+// further ones wait unread in the connection.
 func limitConcurrency(h jsonrpc2.Handler) jsonrpc2.Handler {
 	return &concurrencyLimiter{next: h, slots: make(chan struct{}, maxConcurrentCalls)}
 }
@@ -184,7 +184,7 @@
 	}()
 }
 
-// idleConn closes a connection on which nothing arrives for long.
+// idleConn fails reads after idleTimeout without data, which closes the connection.
 type idleConn struct {
 	net.Conn
 }
@@ -194,6 +194,6 @@
 	return c.Conn.Read(p)
 }
 
-// quiet keeps the library from writing to standard error on its own: a reply
-// to a connection that has ended is nothing that an operator could act on.
+// silentLogger keeps the library from writing to standard error: a failed reply to
+// a closed connection is nothing that an operator could act on.
 var silentLogger = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
--- a/internal/process/control/control_test.go
+++ b/internal/process/control/control_test.go
@@ -41,10 +41,10 @@
 	return reply.Version, err
 }
 
-// In the middle of a rotation a server signs with the new key and accepts the
-// old one. Clients with either key are served; one with a foreign key is not,
-// and learns nothing. A call that the server refuses is told apart from one
-// whose outcome is open.
+// During a key rotation a server signs with the new key and accepts the old one.
+// Clients with either key are served; one with a foreign key is not, and gets no
+// reply. A call that the server refuses is distinguished from one whose outcome is
+// unknown.
 func TestKeys(t *testing.T) {
 	old, next := key.Generate(), key.Generate()
 	ring, err := key.Parse(next + "," + old)
@@ -62,15 +62,15 @@
 		}
 	}
 	if _, err := callOnce(t, s.Address(), key.Generate(), control.Sync); err == nil {
-		t.Error("a foreign key is served")
+		t.Error("a client with a foreign key is served")
 	}
 	if _, err := callOnce(t, s.Address(), next, control.Ping); !errors.Is(err, control.ErrRefused) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want ErrRefused", err)
 	}
 }
 
-// A process calls more peers at once than it keeps connections to. No call
-// fails for that: the peers are well, and would be suspected.
+// A process calls more peers at once than it caches connections. An eviction that
+// failed a call would make the process suspect a healthy peer.
 func TestMorePeersThanCachedConnections(t *testing.T) {
 	ring, err := key.Parse(key.Generate())
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// slow answers after all calls have been sent.
+// slowHandler replies after all calls have been sent.
 type slowHandler struct{}
 
 func (slowHandler) Handle(context.Context, control.Method, json.RawMessage) (any, error) {
--- a/internal/process/control/identity.go
+++ b/internal/process/control/identity.go
@@ -14,15 +14,15 @@
 	"github.com/wagtailtray/wagtailtray/pkg/key"
 )
 
-// purpose separates the control identity from other uses of the key.
+// keyPurpose separates the control identity from other uses of the key.
 const keyPurpose = "control"
 
-// validity is how long a process's certificate holds. It is made anew at each
+// certValidity is how long a process's certificate is valid. It is created at each
 // start, and peers check its key, not its dates: VM clocks differ.
 const certValidity = 10 * 365 * 24 * time.Hour
 
-// identity derives the key pair of the deployment's control connections.
-// Whoever has it holds the deployment key.
+// identity derives the key pair of the deployment's control connections. Its
+// possession proves possession of the deployment key.
 func identity(k key.Key) ed25519.PrivateKey {
 	return ed25519.NewKeyFromSeed(k.Derive(keyPurpose, ed25519.SeedSize))
 }
@@ -42,8 +42,8 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: private}, nil
 }
 
-// settings returns the TLS settings of both sides: each presents the first
-// key's certificate and accepts the certificate of any key of the ring.
+// tlsConfig returns the TLS configuration of both sides: each presents the
+// certificate of the first key and accepts that of any key of the ring.
 func tlsConfig(ring key.Ring) (*tls.Config, error) {
 	cert, err := certificate(ring[0])
 	if err != nil {
@@ -57,7 +57,7 @@
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{cert},
 		ClientAuth:   tls.RequireAnyClientCert,
-		// There are no names and no authorities to verify: VerifyConnection
+		// There are no host names or CAs to verify: VerifyConnection
 		// checks that the peer holds a deployment key.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(s tls.ConnectionState) error { return verify(s, accepted) },
