--- a/internal/process/directory/directory.go
+++ b/internal/process/directory/directory.go
@@ -1,12 +1,12 @@
-// Package directory keeps, in the platform's store, where balancers are reached
-// first.
+// Package directory registers the balancers in the platform's store, where other
+// processes discover them.
 //
 // # The model
 //
 // Each balancer has one object with its address. It is written when the balancer
-// starts and read by processes that know nobody. Entries may be stale, for a
-// balancer that is lost cannot take its own away: readers treat them as hearsay,
-// and a balancer that saw another one silent for long removes its entry under
+// starts and read by processes that know no balancer yet. Entries may be stale,
+// since a lost balancer cannot remove its own: readers treat them as unverified,
+// and a balancer that has seen another one silent for long removes its entry, on
 // the condition that it is unchanged.
 //
 // # Usage
@@ -27,12 +27,12 @@
 	"github.com/wagtailtray/wagtailtray/pkg/platform"
 )
 
-// Entry is one balancer.
+// Entry is the entry of one balancer.
 type Entry struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
 	Domain  string         `json:"domain"`
-	// Share is its part of a core, in thousandths; zero when not known.
+	// Share is its CPU share, in thousandths of a core; zero when not known.
 	Share uint32 `json:"share,omitempty"`
 }
 
@@ -41,14 +41,14 @@
 	store platform.Store
 }
 
-// New returns a directory in a store.
+// New returns a directory that uses a store.
 func New(store platform.Store) *Directory {
 	return &Directory{store: store}
 }
 
 // Register writes a balancer's entry. It may be called again after an error: an
-// entry that is there already, because an answer was lost or the balancer was
-// started again, is replaced only where it differs.
+// entry that exists already, because a reply was lost or the balancer restarted,
+// is replaced only if it differs.
 func (d *Directory) Register(ctx context.Context, e Entry) error {
 	_, err := d.store.Create(ctx, platform.Processes, e.Name, e)
 	if !errors.Is(err, platform.ErrExists) {
@@ -69,7 +69,7 @@
 	return err
 }
 
-// Entries lists the balancers. An entry that cannot be read is left out.
+// Entries lists the balancers. Malformed entries are skipped.
 func (d *Directory) Entries(ctx context.Context) ([]Entry, error) {
 	list, err := d.store.List(ctx, platform.Processes)
 	if err != nil {
@@ -85,8 +85,9 @@
 	return all, nil
 }
 
-// Balancers lists the addresses of the balancers of a failure domain, and of all.
-func (d *Directory) Balancers(ctx context.Context, domain string) (near, all []netip.AddrPort, err error) {
+// Balancers lists the addresses of the balancers of a failure domain, and of all
+// balancers.
+func (d *Directory) Balancers(ctx context.Context, domain string) (local, all []netip.AddrPort, err error) {
 	entries, err := d.Entries(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -94,14 +95,14 @@
 	for _, e := range entries {
 		all = append(all, e.Address)
 		if e.Domain == domain {
-			near = append(near, e.Address)
+			local = append(local, e.Address)
 		}
 	}
-	return near, all, nil
+	return local, all, nil
 }
 
-// Remove takes the entry of a lost balancer away, unless another process has
-// written it meanwhile or it names another address.
+// Remove deletes the entry of a lost balancer, unless another process has written
+// it meanwhile or it has another address.
 func (d *Directory) Remove(ctx context.Context, name string, address netip.AddrPort) error {
 	o, err := d.store.Get(ctx, platform.Processes, name)
 	if errors.Is(err, platform.ErrNotFound) {
