--- a/internal/process/tasks/crash.go
+++ b/internal/process/tasks/crash.go
@@ -9,19 +9,20 @@
 	"github.com/rs/zerolog"
 )
 
-// crashCode is the exit code of a process that a panic ends, as the runtime's own.
+// panicExitCode is the exit code after a panic, the same as the runtime's.
 const panicExitCode = 2
 
-// stackLines is how much of the stack is told: the frames around the cause.
+// maxStackLines bounds the logged stack to the frames around the cause.
 const maxStackLines = 40
 
-// crash ends the process after a panic in a part, with one line that tells its cause. It
-// must itself be deferred: called by another deferred function it would recover nothing.
+// exitOnPanic ends the process after a panic in a task, with one log line that gives the
+// cause. It must itself be deferred: called by another deferred function it would recover
+// nothing.
 //
-// A decision that panics may leave half of its state behind, so going on could send
-// packets wrongly. What a process knows is soft: the one that follows finds it anew. The
-// line goes past the log's buffer, which would be lost, and is short enough to be kept
-// where only the end of the output is.
+// A panic may leave inconsistent state behind, so continuing could misroute packets. The
+// process holds only soft state, which its successor rebuilds. The line bypasses the log's
+// buffer, which would be lost, and is short enough to survive where only the end of the
+// output is retained.
 func exitOnPanic(out io.Writer, exit func(code int)) {
 	reason := recover()
 	if reason == nil {
@@ -36,6 +37,6 @@
 	}
 	log := zerolog.New(out)
 	log.Error().Str("event", "panic").Str("reason", fmt.Sprint(reason)).
-		Strs("stack", lines[:min(len(lines), maxStackLines)]).Msg("the process ends")
+		Strs("stack", lines[:min(len(lines), maxStackLines)]).Msg("panic in a task; exiting")
 	exit(panicExitCode)
 }
--- a/internal/process/tasks/crash_test.go
+++ b/internal/process/tasks/crash_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A decision panics. One line tells the reason and where it was, and the process ends.
+// After a panic, one log line gives the reason and the place, and the process ends.
 func TestPanicIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	code := 0
@@ -39,8 +39,8 @@
 	}
 }
 
-// A part of a process panics: the process ends with the line, not with the runtime's own
-// report of all that runs.
+// After a panic in a task, the process ends with the log line, not with the runtime's
+// report of all goroutines.
 func TestPanicInTaskEndsProcess(t *testing.T) {
 	var out bytes.Buffer
 	code := 0
@@ -48,11 +48,11 @@
 	g.Go(panicHere)
 	g.Wait()
 	if code != panicExitCode || !strings.Contains(out.String(), `"event":"panic"`) {
-		t.Errorf("code %d, told %q", code, out.String())
+		t.Errorf("code %d, output %q", code, out.String())
 	}
 }
 
 func panicHere() {
-	var nobody netip.Addr
-	nobody.As4()
+	var zero netip.Addr
+	zero.As4()
 }
--- a/internal/process/tasks/tasks.go
+++ b/internal/process/tasks/tasks.go
@@ -1,12 +1,12 @@
-// Package tasks runs the parts of a process and waits for their ends.
+// Package tasks runs the background tasks of a process and waits for their ends.
 //
-// A panic in a part ends the process, with one line that tells its cause.
+// A panic in a task ends the process, with one log line that gives its cause.
 //
 // # Usage
 //
 //	var g tasks.Group
 //	g.Go(func() { ... })
-//	g.Wait() // no part starts after this
+//	g.Wait() // no task starts after this
 package tasks
 
 import (
@@ -15,22 +15,22 @@
 	"sync"
 )
 
-// Group is a set of running parts. The zero value is ready for use.
+// Group is a set of running tasks. The zero value is ready for use.
 //
-// A call that arrives while a process stops may want to start a part. A plain
+// A call that arrives while a process stops may try to start a task. A plain
 // WaitGroup must not grow while it is waited for, so a group that is waited
-// for starts nothing more.
+// for starts no more tasks.
 type Group struct {
 	mu     sync.Mutex
 	closed bool
 	wait   sync.WaitGroup
-	// out and exit stand in for standard error and the process's end in tests.
+	// out and exit replace standard error and os.Exit in tests.
 	out  io.Writer
 	exit func(code int)
 }
 
-// Go runs a part, unless the group is waited for, and reports that.
-func (g *Group) Go(part func()) bool {
+// Go runs a task, unless the group is waited for, and reports whether it does.
+func (g *Group) Go(task func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -40,7 +40,7 @@
 	go func() {
 		defer g.wait.Done()
 		defer exitOnPanic(g.output(), g.exitFunc())
-		part()
+		task()
 	}()
 	return true
 }
@@ -59,7 +59,7 @@
 	return g.exit
 }
 
-// Wait closes the group and waits until all parts have ended.
+// Wait closes the group and waits until all tasks have ended.
 func (g *Group) Wait() {
 	g.mu.Lock()
 	g.closed = true
