--- a/internal/process/trace/trace.go
+++ b/internal/process/trace/trace.go
@@ -1,8 +1,8 @@
-// Package trace records a span for each hop of a datagram, and carries the
+// Package trace records a span for each hop of a datagram, and propagates the
 // context from hop to hop in the envelope.
 //
-// Every opening datagram is traced, and a sampled share of the rest: a flow
-// of hours would otherwise drown what tells its story.
+// Every opening datagram is traced, and a sampled share of the rest: the spans of
+// a flow of hours would otherwise hide those that show how it was routed.
 //
 // # Usage
 //
@@ -23,7 +23,7 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 )
 
-// size is that of a trace identifier and a span identifier.
+// contextSize is the size of a trace identifier and a span identifier.
 const contextSize = 16 + 8
 
 // Tracer records hops.
@@ -32,7 +32,7 @@
 	share  float64
 }
 
-// Hop is what a span says of one hop.
+// Hop holds the attributes of the span of one hop.
 type Hop struct {
 	Service uint32
 	Target  uint32
@@ -40,13 +40,13 @@
 	Outcome string
 }
 
-// New returns a tracer that samples a share of the datagrams which open
-// nothing.
+// New returns a tracer that samples a share of the datagrams that open no flow.
 func New(p *sdk.TracerProvider, share float64) *Tracer {
 	return &Tracer{tracer: p.Tracer("wagtailtray"), share: share}
 }
 
-// Sampled decides at the first hop; random is even in [0, 1).
+// Sampled reports, at the first hop, whether a datagram is traced; random is
+// uniformly distributed in [0, 1).
 func (t *Tracer) Sampled(opening bool, random float64) bool {
 	return t != nil && (opening || random < t.share)
 }
