--- a/internal/process/operations/operations.go
+++ b/internal/process/operations/operations.go
@@ -1,5 +1,5 @@
-// Package operations serves what operators' tools ask a process: metrics for
-// scraping, liveness and readiness.
+// Package operations serves the metrics, liveness and readiness of a process over
+// HTTP.
 //
 // # Usage
 //
@@ -27,7 +27,7 @@
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Operations is the metrics of a process and the server that shows them.
+// Operations holds the metrics of a process and the server that serves them.
 type Operations struct {
 	scope    tally.Scope
 	closer   io.Closer
@@ -35,7 +35,7 @@
 	server   *http.Server
 }
 
-// New returns the metrics of a process of that role.
+// New returns the metrics of a process with a role.
 func New(role string) *Operations {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -49,13 +49,13 @@
 	return &Operations{scope: scope, closer: closer, reporter: reporter}
 }
 
-// Scope returns where metrics are made.
+// Scope returns the scope in which metrics are created.
 func (o *Operations) Scope() tally.Scope {
 	return o.scope
 }
 
-// Serve shows /metrics, /live and /ready on an address. ready says why the
-// process is not ready, or nothing.
+// Serve serves /metrics, /live and /ready on an address. ready returns why the
+// process is not ready, or an empty string.
 func (o *Operations) Serve(address netip.AddrPort, ready func() string) error {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err != nil {
@@ -67,8 +67,8 @@
 		_, _ = io.WriteString(w, "live\n")
 	})
 	mux.HandleFunc("/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if why := ready(); why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason := ready(); reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		_, _ = io.WriteString(w, "ready\n")
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Close ends the server and the reports.
+// Close stops the server and the metrics reporter.
 func (o *Operations) Close() {
 	if o.server != nil {
 		_ = o.server.Close()
