--- a/internal/process/balancer/contact.go
+++ b/internal/process/balancer/contact.go
@@ -40,15 +40,15 @@
 	}
 	b.count.announce.Inc(1)
 	b.mu.Lock()
-	var fresh []member.Member
+	var changed []member.Member
 	if m.Incarnation != 0 {
-		fresh = b.mergeMember(m)
+		changed = b.mergeMember(m)
 	}
-	b.updateSnapshot(fresh)
+	b.updateSnapshot(changed)
 	reply := b.buildReply(r, m)
 	b.mu.Unlock()
-	if len(fresh) > 0 {
-		b.queueUpdate(update{members: fresh})
+	if len(changed) > 0 {
+		b.queueUpdate(update{members: changed})
 	}
 	return reply, nil
 }
--- a/internal/process/balancer/sync.go
+++ b/internal/process/balancer/sync.go
@@ -12,8 +12,8 @@
 )
 
 // syncWith compares configuration and members with a peer and updates both sides
-// to the same state. It repairs lost pushes, and a new process gets its whole
-// state by it.
+// to the same state. It repairs lost pushes, and is how a new process obtains its
+// state.
 func (b *Balancer) syncWith(ctx context.Context, peer netip.AddrPort) error {
 	b.mu.Lock()
 	request := &wire.Sync{From: b.settings.Name, Version: b.book.Version(), Digest: b.table.Digest()}
@@ -44,7 +44,7 @@
 	}
 }
 
-// sendMissingDeltas pushes the deltas that it lacks to a peer that is behind.
+// sendMissingDeltas pushes the missing deltas to a peer that is behind.
 func (b *Balancer) sendMissingDeltas(ctx context.Context, peer netip.AddrPort, reply *wire.Synced) {
 	b.mu.Lock()
 	var deltas []*config.Delta
@@ -161,28 +161,28 @@
 	}
 }
 
-// bulkRecords is the number of new records at once from which on they are not
-// propagated: the process is joining, or returning from a network partition. Else
-// each joining balancer would push the whole table to its neighbours, which have
-// it; syncs deliver what they lack.
+// bulkRecords new records or more at once are not propagated: the process is
+// joining, or returning from a network partition. Otherwise each joining balancer
+// would push the whole table to its neighbours, which have it; syncs deliver what
+// they lack.
 const bulkRecords = 128
 
 // mergeMembers merges records and propagates those that are new.
 func (b *Balancer) mergeMembers(all []*wire.Member) {
 	b.mu.Lock()
-	var fresh []member.Member
+	var changed []member.Member
 	for _, w := range all {
 		m, err := member.FromWire(w)
 		if err != nil {
 			b.count.malformed.Inc(1)
 			continue
 		}
-		fresh = append(fresh, b.mergeMember(m)...)
+		changed = append(changed, b.mergeMember(m)...)
 	}
-	b.updateSnapshot(fresh)
+	b.updateSnapshot(changed)
 	b.mu.Unlock()
-	if len(fresh) > 0 && len(fresh) < bulkRecords {
-		b.queueUpdate(update{members: fresh})
+	if len(changed) > 0 && len(changed) < bulkRecords {
+		b.queueUpdate(update{members: changed})
 	}
 }
 
--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -34,7 +34,7 @@
 
 // Errors of this package.
 var (
-	ErrForeignKey    = errs.New("control: peer does not hold a key of this deployment")
+	ErrUnknownKey    = errs.New("control: peer does not hold a key of this deployment")
 	ErrUnknownMethod = errs.New("control: no such method")
 	ErrRefused       = errs.New("control: the peer refused the call")
 )
--- a/internal/process/control/control_test.go
+++ b/internal/process/control/control_test.go
@@ -42,7 +42,7 @@
 }
 
 // During a key rotation a server signs with the new key and accepts the old one.
-// Clients with either key are served; one with a foreign key is not, and gets no
+// Clients with either key are served; one with an unknown key is not, and gets no
 // reply. A call that the server refuses is distinguished from one whose outcome is
 // unknown.
 func TestKeys(t *testing.T) {
@@ -62,7 +62,7 @@
 		}
 	}
 	if _, err := callOnce(t, s.Address(), key.Generate(), control.Sync); err == nil {
-		t.Error("a client with a foreign key is served")
+		t.Error("a client with an unknown key is served")
 	}
 	if _, err := callOnce(t, s.Address(), next, control.Ping); !errors.Is(err, control.ErrRefused) {
 		t.Errorf("got %v, want ErrRefused", err)
--- a/internal/process/control/identity.go
+++ b/internal/process/control/identity.go
@@ -66,16 +66,16 @@
 
 func verify(s tls.ConnectionState, accepted []ed25519.PublicKey) error {
 	if len(s.PeerCertificates) == 0 {
-		return ErrForeignKey
+		return ErrUnknownKey
 	}
 	public, ok := s.PeerCertificates[0].PublicKey.(ed25519.PublicKey)
 	if !ok {
-		return ErrForeignKey
+		return ErrUnknownKey
 	}
 	for _, a := range accepted {
 		if bytes.Equal(a, public) {
 			return nil
 		}
 	}
-	return ErrForeignKey
+	return ErrUnknownKey
 }
