--- a/internal/process/control/control.go
+++ b/internal/process/control/control.go
@@ -1,4 +1,4 @@
-// Package control carries the calls between the processes of a deployment:
+// Package control implements the calls between the processes of a deployment:
 // JSON-RPC over TCP, with TLS identities derived from the deployment key.
 //
 // # Usage
@@ -9,9 +9,9 @@
 //	c, err := control.NewClient(ring)
 //	err = c.Call(ctx, address, control.Sync, &request, &reply)
 //
-// A client keeps one connection to each address, and the number of kept
-// connections is bounded. A call that fails closes its connection; whether the
-// call ran is not known then, so every call of the system may be repeated.
+// A client caches one connection per address, up to a bound. A call that fails
+// closes its connection; whether it ran is not known then, so every call of the
+// system can be repeated safely.
 package control
 
 import (
@@ -34,9 +34,9 @@
 
 // Errors of this package.
 var (
-	ErrForeign = errs.New("control: peer does not hold a key of this deployment")
-	ErrMethod  = errs.New("control: no such method")
-	ErrRefused = errs.New("control: the peer refused the call")
+	ErrUnknownKey    = errs.New("control: peer does not hold a key of this deployment")
+	ErrUnknownMethod = errs.New("control: no such method")
+	ErrRefused       = errs.New("control: the peer refused the call")
 )
 
 // Method names a call.
@@ -55,19 +55,19 @@
 )
 
 const (
-	// dialTimeout bounds connecting and the handshake.
+	// dialTimeout bounds the connection setup and the handshake.
 	dialTimeout = 2 * time.Second
 	// maxInbound bounds the connections that a process serves. At the
-	// bound new ones wait; callers time out and turn to another process.
+	// bound new ones wait; clients time out and call another process.
 	maxInbound = 2048
-	// idleLimit is how long a connection may be silent before its server
-	// closes it, so that dead peers do not hold places.
-	idleLimit = time.Minute
-	// handling bounds the calls of one connection that run at once.
-	handling = 4
+	// idleTimeout is how long a connection may be silent before its server
+	// closes it, so that dead peers do not count towards maxInbound.
+	idleTimeout = time.Minute
+	// maxConcurrentCalls bounds the calls of one connection that run at once.
+	maxConcurrentCalls = 4
 )
 
-// Handler answers calls. The reply is encoded as JSON.
+// Handler handles calls. The reply is encoded as JSON.
 type Handler interface {
 	Handle(ctx context.Context, method Method, params json.RawMessage) (any, error)
 }
@@ -84,7 +84,7 @@
 
 // Serve listens on an address until Close.
 func Serve(ctx context.Context, address netip.AddrPort, ring key.Ring, h Handler) (*Server, error) {
-	config, err := settings(ring)
+	config, err := tlsConfig(ring)
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Close ends all connections and waits for their ends.
+// Close closes all connections and waits until they have ended.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.listener.Close()
@@ -139,12 +139,12 @@
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	c := jsonrpc2.NewConn(ctx, stream(&idleConn{Conn: conn}), bounded(jsonrpc2.HandlerWithError(s.handle)), quiet)
+	c := jsonrpc2.NewConn(ctx, newObjectStream(&idleConn{Conn: conn}), limitConcurrency(jsonrpc2.HandlerWithError(s.handle)), silentLogger)
 	s.mu.Lock()
 	s.conns[c] = true
 	s.mu.Unlock()
 	if ctx.Err() != nil {
-		// Close may have run before this connection was in its list.
+		// Close may have run before this connection was in conns.
 		_ = c.Close()
 	}
 	<-c.DisconnectNotify()
@@ -161,39 +161,39 @@
 	return s.handler.Handle(ctx, Method(r.Method), params)
 }
 
-func stream(conn net.Conn) jsonrpc2.ObjectStream {
+func newObjectStream(conn net.Conn) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewPlainObjectStream(conn)
 }
 
-// bounded runs up to a few calls of a connection at once; further ones wait
-// unread in the connection.
-func bounded(h jsonrpc2.Handler) jsonrpc2.Handler {
-	return &boundedHandler{next: h, places: make(chan struct{}, handling)}
+// limitConcurrency runs up to maxConcurrentCalls calls of a connection at once;
+// further ones wait unread in the connection.
+func limitConcurrency(h jsonrpc2.Handler) jsonrpc2.Handler {
+	return &concurrencyLimiter{next: h, slots: make(chan struct{}, maxConcurrentCalls)}
 }
 
-type boundedHandler struct {
-	next   jsonrpc2.Handler
-	places chan struct{}
+type concurrencyLimiter struct {
+	next  jsonrpc2.Handler
+	slots chan struct{}
 }
 
-func (b *boundedHandler) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
-	b.places <- struct{}{}
+func (b *concurrencyLimiter) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
+	b.slots <- struct{}{}
 	go func() {
-		defer func() { <-b.places }()
+		defer func() { <-b.slots }()
 		b.next.Handle(ctx, c, r)
 	}()
 }
 
-// idleConn closes a connection on which nothing arrives for long.
+// idleConn fails reads after idleTimeout without data, which closes the connection.
 type idleConn struct {
 	net.Conn
 }
 
 func (c *idleConn) Read(p []byte) (int, error) {
-	_ = c.SetReadDeadline(time.Now().Add(idleLimit))
+	_ = c.SetReadDeadline(time.Now().Add(idleTimeout))
 	return c.Conn.Read(p)
 }
 
-// quiet keeps the library from writing to standard error on its own: a reply
-// to a connection that has ended is nothing that an operator could act on.
-var quiet = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+// silentLogger keeps the library from writing to standard error: a failed reply to
+// a closed connection is nothing that an operator could act on.
+var silentLogger = jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
