--- a/internal/process/streamagent/agent.go
+++ b/internal/process/streamagent/agent.go
@@ -1,20 +1,20 @@
-// Package streamagent is the process beside a target whose flows are
-// connections. It hands packets to the target and the target's packets to the
+// Package streamagent runs the agent of a target whose flows are connections. It
+// forwards packets of balancers to the target and the target's packets to the
 // callers.
 //
 // # The model
 //
-// Decisions are a stream.Holder's. This package has the sockets: one that takes
-// parcels of balancers, and one through which the target sends everything.
-// Packets for callers leave the VM straight away; they need no balancer.
+// Package stream makes the decisions. This package owns the sockets: one receives
+// the parcels of balancers, the other all packets that the target sends. Packets
+// for callers leave the VM directly, without passing a balancer.
 //
-// Lock order: Agent.mu only. It is held while a packet is decided about and
-// sent, which are some microseconds.
+// The only lock is Agent.mu. It is held while a packet is processed and sent, for
+// some microseconds.
 //
 // # Usage
 //
 //	a, err := streamagent.Start(settings, deps)
-//	a.Beat(beat) // before the heartbeat is acknowledged
+//	a.HandleHeartbeat(heartbeat) // before the heartbeat is acknowledged
 //	a.Stop()
 package streamagent
 
@@ -39,67 +39,69 @@
 )
 
 const (
-	// tick is the pause between two looks at what is due: the time that a
-	// target has to return a packet is of this order.
-	tick = 50 * time.Millisecond
-	// keeperFor is the silence after which no balancer is there that keeps checkpoints.
-	keeperFor = 2 * clock.Second
-	// findEvery is how often the directory is asked for balancers while none
-	// probes this target, and firstFind the first pause after a call that failed; it
-	// doubles.
-	findEvery = 5 * clock.Second
-	firstFind = 200 * clock.Millis(1)
+	// tickInterval is of the order of the time that a target has to return a packet.
+	tickInterval = 50 * time.Millisecond
+	// keeperTimeout is how long after the last probe of a balancer that stores
+	// checkpoints no such balancer counts as present.
+	keeperTimeout = 2 * clock.Second
+	// lookupInterval is how often balancers are looked up in the directory while none
+	// probes this target. After a failed lookup the delay starts at minLookupRetryDelay
+	// and doubles.
+	lookupInterval      = 5 * clock.Second
+	minLookupRetryDelay = 200 * clock.Millis(1)
 )
 
-// Finder finds balancers to report to: those of a failure domain, and all.
+// Finder looks up the balancers to report to.
 type Finder interface {
-	Balancers(ctx context.Context, domain string) (near, all []netip.AddrPort, err error)
+	// Balancers returns the balancers of a failure domain, and those of all.
+	Balancers(ctx context.Context, domain string) (local, all []netip.AddrPort, err error)
 }
 
-// Settings are what an agent is told at start.
+// Settings configures an agent.
 type Settings struct {
 	Name    string
 	Domain  string
 	Service string
-	// Parcels is where balancers reach the agent; all balancers use the same
-	// port for theirs.
+	// Parcels is the address at which the agent receives parcels; all balancers
+	// receive theirs on the same port.
 	Parcels netip.AddrPort
-	// Outbound is where the target sends its packets, and Target where it
-	// takes them.
+	// Outbound is the address to which the target sends its packets, and Target
+	// the one at which it receives packets.
 	Outbound netip.AddrPort
 	Target   netip.AddrPort
-	// CallerPort is the port at which callers take packets.
+	// CallerPort is the port at which callers receive packets.
 	CallerPort uint16
-	FlowLife   clock.Millis
-	// Heartbeat is the pause between two heartbeats of the target.
+	FlowTTL    clock.Millis
+	// Heartbeat is the interval between two heartbeats of the target.
 	Heartbeat clock.Millis
-	// Seeds are balancers to report to at first.
+	// Seeds are the balancers to report to at start.
 	Seeds []netip.AddrPort
 }
 
-// Deps are what an agent works with.
+// Deps are the dependencies of an agent.
 type Deps struct {
 	Codec  segment.Codec
 	Finder Finder
-	// Checkpoints keeps the target's flows; nil if they are not to be kept.
-	Checkpoints Checkpoints
+	// Checkpoints holds the stored flows of the target; nil disables checkpoints.
+	Checkpoints CheckpointReader
 	Clock       clock.Clock
 	Log         zerolog.Logger
 	Scope       tally.Scope
 }
 
-// mostFlows bounds the flows that an agent remembers: a target holds a few
-// thousand, and flows that have ended are kept for some seconds.
-const mostFlows = 32768
+// maxFlows bounds the flows that an agent tracks: a target holds a few
+// thousand, and flows that have ended are retained for some seconds.
+const maxFlows = 32768
 
-// missedBeats is how many heartbeats a target may miss until it gets no new flows.
-const missedBeats = 3
+// maxMissedHeartbeats is how many heartbeats a target may miss before it gets no
+// new flows.
+const maxMissedHeartbeats = 3
 
-// lookTimeout bounds a look whether the target listens; it is on the same VM, which
-// answers within a millisecond.
-const lookTimeout = 100 * time.Millisecond
+// dialTimeout bounds a dial that checks whether the target listens. The target is on
+// the same VM, which answers within a millisecond.
+const dialTimeout = 100 * time.Millisecond
 
-// Agent is one agent.
+// Agent is the agent of one target.
 type Agent struct {
 	settings Settings
 	deps     Deps
@@ -107,44 +109,45 @@
 	outbound *net.UDPConn
 
 	mu        sync.Mutex
-	holder    *stream.Holder
-	record    *decisions.Recorder
+	tracker   *stream.Holder
+	recorder  *decisions.Recorder
 	balancers *Balancers
-	// kept is when a balancer that keeps checkpoints has probed last; zero if none did.
-	kept    clock.Millis
-	started clock.Millis
+	// keeperProbedAt is the time of the last probe from a balancer that stores
+	// checkpoints; zero if there was none.
+	keeperProbedAt clock.Millis
+	startedAt      clock.Millis
 
-	// readable wakes the part that reads what an earlier process has kept.
-	readable chan struct{}
+	// restoreWake wakes runRestore before its retry delay is over.
+	restoreWake chan struct{}
 
-	malformed *decisions.Malformed
-	unsent    tally.Counter
-	traffic   *parcels.Traffic
-	served    tally.Histogram
-	cancel    context.CancelFunc
-	parts     tasks.Group
+	malformed  *decisions.Malformed
+	unsent     tally.Counter
+	traffic    *parcels.Traffic
+	latencies  tally.Histogram
+	cancel     context.CancelFunc
+	background tasks.Group
 }
 
-// Start opens the sockets and begins to serve.
+// Start opens the sockets and starts serving.
 func Start(settings Settings, deps Deps) (*Agent, error) {
 	now := deps.Clock.Now()
 	a := &Agent{
-		settings: settings, deps: deps, balancers: NewBalancers(now, settings.Domain), started: now,
-		readable:  make(chan struct{}, 1),
-		record:    decisions.NewRecorder(deps.Log, deps.Scope),
-		malformed: decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
-		traffic: parcels.NewTraffic(deps.Log, deps.Scope),
-		served:  deps.Scope.Histogram("served", decisions.Buckets),
+		settings: settings, deps: deps, balancers: NewBalancers(now, settings.Domain), startedAt: now,
+		restoreWake: make(chan struct{}, 1),
+		recorder:    decisions.NewRecorder(deps.Log, deps.Scope),
+		malformed:   decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
+		traffic:   parcels.NewTraffic(deps.Log, deps.Scope),
+		latencies: deps.Scope.Histogram("served", decisions.Buckets),
 	}
-	a.holder = stream.NewHolder(now, stream.HolderSettings{
+	a.tracker = stream.NewHolder(now, stream.HolderSettings{
 		Name: settings.Name, Domain: settings.Domain, Service: settings.Service,
-		Epoch: uint64(time.Now().UnixMilli()), Port: settings.Parcels.Port(), Flows: mostFlows,
-		FlowLife: settings.FlowLife, Heartbeat: settings.Heartbeat, SilentAfter: missedBeats * settings.Heartbeat,
+		Epoch: uint64(time.Now().UnixMilli()), Port: settings.Parcels.Port(), Flows: maxFlows,
+		FlowLife: settings.FlowTTL, Heartbeat: settings.Heartbeat, SilentAfter: maxMissedHeartbeats * settings.Heartbeat,
 		Checkpoint: deps.Checkpoints != nil,
 	})
 	a.balancers.Learn(now, settings.Seeds, "")
 	var err error
-	if a.parcels, err = parcels.Listen(settings.Parcels, a.deps.Codec, a.unreadable); err != nil {
+	if a.parcels, err = parcels.Listen(settings.Parcels, a.deps.Codec, a.noteMalformed); err != nil {
 		return nil, err
 	}
 	if a.outbound, err = parcels.ListenUDP(settings.Outbound); err != nil {
@@ -152,12 +155,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
-	a.parts.Go(func() { a.parcels.Serve(a.hear) })
-	a.parts.Go(a.serveTarget)
-	a.parts.Go(func() { a.ticks(ctx) })
-	a.parts.Go(func() { a.finds(ctx) })
+	a.background.Go(func() { a.parcels.Serve(a.handleParcel) })
+	a.background.Go(a.serveTarget)
+	a.background.Go(func() { a.runTicker(ctx) })
+	a.background.Go(func() { a.runLookups(ctx) })
 	if deps.Checkpoints != nil {
-		a.parts.Go(func() { a.restores(ctx) })
+		a.background.Go(func() { a.runRestore(ctx) })
 	}
 	deps.Log.Info().Str("event", "start").Str("service", settings.Service).Str("domain", settings.Domain).
 		Stringer("parcels", settings.Parcels).Int("seeds", len(settings.Seeds)).Msg("agent started")
@@ -171,66 +174,68 @@
 	a.balancers.Learn(a.deps.Clock.Now(), seeds, "")
 }
 
-// unreadable notes a datagram that is no parcel.
-func (a *Agent) unreadable(from netip.AddrPort, err error) {
+// noteMalformed logs and counts a datagram that is not a valid parcel.
+func (a *Agent) noteMalformed(from netip.AddrPort, err error) {
 	a.malformed.Note("parcels", from, err)
 }
 
-// hear takes a parcel of a balancer.
-func (a *Agent) hear(from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
+// handleParcel processes a parcel from a balancer.
+func (a *Agent) handleParcel(from netip.AddrPort, p *wire.Parcel, seg *segment.Segment) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.deps.Clock.Now()
-	a.balancers.Heard(now, from)
+	a.balancers.RecordHeard(now, from)
 	if p.Verb == wire.Verb_VERB_PROBE && p.Report != nil {
-		a.probe(now, from, p.Report)
+		a.recordProbe(now, from, p.Report)
 	}
-	a.holder.Hear(now, from, p, seg)
+	a.tracker.Hear(now, from, p, seg)
 	a.flush()
 }
 
-// probe notes that a balancer has probed. One that keeps checkpoints reaches the
-// platform, so what was kept can be read.
-func (a *Agent) probe(now clock.Millis, from netip.AddrPort, r *wire.Report) {
-	a.balancers.Probed(now, from, r.Domain)
+// recordProbe records a probe from a balancer. If that balancer stores checkpoints, it
+// reaches the platform, so runRestore is woken to read the checkpoint.
+func (a *Agent) recordProbe(now clock.Millis, from netip.AddrPort, r *wire.Report) {
+	a.balancers.RecordProbe(now, from, r.Domain)
 	if !r.Keeper {
 		return
 	}
-	if now.Sub(a.kept) > keeperFor {
+	if now.Sub(a.keeperProbedAt) > keeperTimeout {
 		select {
-		case a.readable <- struct{}{}:
+		case a.restoreWake <- struct{}{}:
 		default:
 		}
 	}
-	a.kept = now
+	a.keeperProbedAt = now
 }
 
-// serveTarget takes the packets of the target.
+// serveTarget processes the packets that the target sends.
 func (a *Agent) serveTarget() {
-	unreadable := func(from netip.AddrPort, err error) { a.malformed.Note("outbound", from, err) }
-	parcels.Packets(a.outbound, a.deps.Codec, unreadable, func(seg *segment.Segment, packet []byte) {
+	noteMalformed := func(from netip.AddrPort, err error) { a.malformed.Note("outbound", from, err) }
+	parcels.Packets(a.outbound, a.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.holder.FromTarget(a.deps.Clock.Now(), seg, packet)
+		a.tracker.FromTarget(a.deps.Clock.Now(), seg, packet)
 		a.flush()
 	})
 }
 
-// flush does what was decided, and tells the balancers if the target's condition
-// has changed. The lock is held: packets of one flow stay in order.
+// flush carries out the pending decisions, and sends the balancers a report if the
+// target's condition has changed. The caller holds a.mu, which keeps the packets of
+// one flow in order.
 func (a *Agent) flush() {
-	if now := a.deps.Clock.Now(); a.holder.Turned(now) {
-		a.holder.Tell(now, a.balancers.All(now))
+	if now := a.deps.Clock.Now(); a.tracker.Turned(now) {
+		a.tracker.Tell(now, a.balancers.All(now))
 	}
-	out := a.holder.Take()
+	out := a.tracker.Take()
 	for _, d := range out.Deliveries {
 		a.deps.Codec.Mark(d.Packet, d.Echo)
 		a.write(d.Packet, a.settings.Target)
 	}
 	for _, packet := range out.Answers {
-		a.answer(packet)
+		a.writeToCaller(packet)
 	}
-	// Balancers hear of the target before callers come back to them.
+	// Reports to balancers go out before the resets, which make callers come back
+	// to the balancers.
 	for _, s := range out.Sends {
 		if s.Parcel.Verb == wire.Verb_VERB_RETURN {
 			a.deps.Codec.Mark(s.Parcel.Packet, 0)
@@ -238,12 +243,12 @@
 		a.send(s.To, s.Parcel)
 	}
 	for _, r := range out.Resets {
-		a.write(a.deps.Codec.Reset(r.Flow, r.Seq), a.caller(r.Flow.Caller.Addr()))
+		a.write(a.deps.Codec.Reset(r.Flow, r.Seq), a.callerAddress(r.Flow.Caller.Addr()))
 	}
 	for _, d := range out.Served {
-		a.served.RecordDuration(d.Duration())
+		a.latencies.RecordDuration(d.Duration())
 	}
-	a.record.Record(out.Events)
+	a.recorder.Record(out.Events)
 }
 
 func (a *Agent) send(to netip.AddrPort, p *wire.Parcel) {
@@ -255,16 +260,16 @@
 	a.traffic.Sent(p.Verb, a.balancers.Domain(to) != a.settings.Domain, size)
 }
 
-func (a *Agent) answer(packet []byte) {
+func (a *Agent) writeToCaller(packet []byte) {
 	seg, err := a.deps.Codec.Decode(packet)
 	if err != nil {
 		a.malformed.Note("outbound", a.settings.Target, err)
 		return
 	}
-	a.write(packet, a.caller(seg.Destination.Addr()))
+	a.write(packet, a.callerAddress(seg.Destination.Addr()))
 }
 
-func (a *Agent) caller(ip netip.Addr) netip.AddrPort {
+func (a *Agent) callerAddress(ip netip.Addr) netip.AddrPort {
 	return netip.AddrPortFrom(ip, a.settings.CallerPort)
 }
 
@@ -274,28 +279,28 @@
 	}
 }
 
-// Beat takes a heartbeat. What it changes is told to the balancers; the gate for
-// new flows is closed before it returns.
-func (a *Agent) Beat(b stream.Beat) error {
+// HandleHeartbeat processes a heartbeat of the target and reports changes to the
+// balancers. A heartbeat that stops new flows takes effect before the method returns.
+func (a *Agent) HandleHeartbeat(b stream.Beat) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if b.Service != a.settings.Service {
 		return errs.New("streamagent: heartbeat of service %q, not %q", b.Service, a.settings.Service)
 	}
-	a.holder.Beat(a.deps.Clock.Now(), b)
+	a.tracker.Beat(a.deps.Clock.Now(), b)
 	a.flush()
 	return nil
 }
 
-// Leave notes that the target ends.
-func (a *Agent) Leave() {
+// RecordLeave records that the target is stopping.
+func (a *Agent) RecordLeave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.holder.Leave(a.deps.Clock.Now())
+	a.tracker.Leave(a.deps.Clock.Now())
 	a.flush()
 }
 
-func (a *Agent) ticks(ctx context.Context) {
+func (a *Agent) runTicker(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -304,48 +309,48 @@
 			return
 		case <-timer.C:
 		}
-		timer.Reset(tick)
+		timer.Reset(tickInterval)
 		a.mu.Lock()
 		now := a.deps.Clock.Now()
-		a.holder.Tick(now)
-		a.holder.Tell(now, a.balancers.Due(now, a.holder.Loaded()))
-		doubts := a.holder.Doubts(now)
+		a.tracker.Tick(now)
+		a.tracker.Tell(now, a.balancers.DueForReport(now, a.tracker.Loaded()))
+		dialDue := a.tracker.Doubts(now)
 		a.flush()
 		a.traffic.Tell(now, false)
 		a.mu.Unlock()
-		if doubts {
-			a.look(ctx)
+		if dialDue {
+			a.checkTarget(ctx)
 		}
 	}
 }
 
-// Silence closes the sockets without a word, as a loss of power does.
-func (a *Agent) Silence() error {
+// Kill closes the sockets without notifying anyone, like a loss of power.
+func (a *Agent) Kill() error {
 	a.cancel()
 	return errs.Combine(a.parcels.Close(), errs.Wrap(a.outbound.Close()))
 }
 
-// Ready says why the agent is not ready, or nothing.
+// Ready returns why the agent is not ready, or an empty string.
 func (a *Agent) Ready() string {
 	return ""
 }
 
-// Stop ends the agent. Balancers are told; the callers of a target that has
-// ended are told as well.
+// Stop stops the agent. It notifies the balancers and, if the target has ended, the
+// callers.
 func (a *Agent) Stop() {
 	a.mu.Lock()
 	now := a.deps.Clock.Now()
-	a.holder.Stop(now)
-	a.holder.Tell(now, a.balancers.All(now))
+	a.tracker.Stop(now)
+	a.tracker.Tell(now, a.balancers.All(now))
 	a.flush()
 	a.traffic.Tell(now, true)
-	left, flows := a.holder.Gone(), a.holder.Flows()
+	left, flows := a.tracker.Gone(), a.tracker.Flows()
 	a.mu.Unlock()
 	a.deps.Log.Info().Str("event", "stop").Bool("left", left).Int("flows", flows).Msg("agent stopped")
 	a.cancel()
 	err := errs.Combine(a.parcels.Close(), errs.Wrap(a.outbound.Close()))
 	if err != nil {
-		a.deps.Log.Warn().Str("event", "stop").Err(err).Msg("sockets did not close")
+		a.deps.Log.Warn().Str("event", "stop").Err(err).Msg("closing the sockets failed")
 	}
-	a.parts.Wait()
+	a.background.Wait()
 }
--- a/internal/process/streamagent/agent_test.go
+++ b/internal/process/streamagent/agent_test.go
@@ -18,22 +18,22 @@
 
 const testNow = 24 * clock.Hour
 
-// testAgent is an agent of failure domain a that has run for long, with a target whose
-// slots are in use or not.
-func testAgent(t *testing.T, loaded bool) *Agent {
+// newTestAgent returns an agent of failure domain a that started long ago. loaded sets
+// whether the slots of its target are in use.
+func newTestAgent(t *testing.T, loaded bool) *Agent {
 	t.Helper()
 	h := stream.NewHolder(0, stream.HolderSettings{Domain: "a", Service: "one", Port: 7000, Flows: 100, FlowLife: clock.Minute})
 	if loaded {
-		load(t, h)
+		applyLoad(t, h)
 	}
 	if h.Loaded() != loaded {
 		t.Fatalf("loaded: %v", h.Loaded())
 	}
-	return &Agent{settings: Settings{Domain: "a"}, balancers: NewBalancers(0, "a"), holder: h}
+	return &Agent{settings: Settings{Domain: "a"}, balancers: NewBalancers(0, "a"), tracker: h}
 }
 
-// load gives the target requests that are under way for as long as its load is averaged.
-func load(t *testing.T, h *stream.Holder) {
+// applyLoad keeps requests of the target in flight for as long as its load is averaged.
+func applyLoad(t *testing.T, h *stream.Holder) {
 	t.Helper()
 	h.Beat(testNow-2*clock.Second, stream.Beat{Service: "one", Slots: 1, Sequence: 1, Born: 1})
 	for i := range 4 {
@@ -51,12 +51,12 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7000)
 }
 
-// A target's slots are in use, or balancers of its failure domain start while callers wait:
-// they must not go by a load of long ago for their next hundred openings.
-func TestTellNear(t *testing.T) {
+// Local balancers need fresh reports when the target's slots are in use, or when they start
+// while callers wait. Otherwise they place their next hundred openings by an outdated load.
+func TestReportIntervalForLocalBalancers(t *testing.T) {
 	for _, c := range []struct {
 		unheard, loaded bool
-		most            clock.Millis
+		max             clock.Millis
 	}{
 		{false, true, 200},
 		{true, false, 100},
@@ -64,78 +64,79 @@
 		{false, false, clock.Second},
 	} {
 		bs := NewBalancers(testNow-clock.Second, "a")
-		bs.near = testNow
-		got, ok := bs.pause(testNow, &balancer{domain: "a", met: !c.unheard}, testAgent(t, c.loaded).holder.Loaded())
-		if !ok || got > c.most {
-			t.Errorf("unheard %v, loaded %v: told %v every %d ms, want %d", c.unheard, c.loaded, ok, got, c.most)
+		bs.lastLocalProbe = testNow
+		got, ok := bs.reportInterval(testNow, &balancer{domain: "a", everHeard: !c.unheard}, newTestAgent(t, c.loaded).tracker.Loaded())
+		if !ok || got > c.max {
+			t.Errorf("unheard %v, loaded %v: reports %v every %d ms, want at most %d", c.unheard, c.loaded, ok, got, c.max)
 		}
 	}
 }
 
-// Hundreds of balancers elsewhere know the target, and those of its failure domain ask
-// it: only these are told unasked, or what is told grows with the product of both.
-func TestTellElsewhere(t *testing.T) {
+// Hundreds of balancers of other failure domains know the target, and those of its own
+// domain probe it. Only the latter are sent unsolicited reports; otherwise the number of
+// reports grows with the product of balancers and targets.
+func TestNoReportsToRemoteBalancers(t *testing.T) {
 	bs := NewBalancers(0, "a")
-	bs.near = testNow
-	for _, b := range []*balancer{{met: true, domain: "b"}, {met: true}, {}} {
-		if pause, ok := bs.pause(testNow, b, true); ok {
-			t.Errorf("a balancer elsewhere (%+v) is told every %d ms", b, pause)
+	bs.lastLocalProbe = testNow
+	for _, b := range []*balancer{{everHeard: true, domain: "b"}, {everHeard: true}, {}} {
+		if interval, ok := bs.reportInterval(testNow, b, true); ok {
+			t.Errorf("a balancer of another domain (%+v) is sent reports every %d ms", b, interval)
 		}
 	}
 }
 
-// All balancers of the failure domain are gone. Those elsewhere are told as those near by
-// were, so that the target serves on and its flows are known.
-func TestTellWhereAlone(t *testing.T) {
+// All balancers of the failure domain are gone. Those of other domains are then sent reports
+// as often as the local ones were, so that the target keeps serving and its flows are known.
+func TestReportsToRemoteBalancersWithoutLocal(t *testing.T) {
 	bs := NewBalancers(0, "a")
-	bs.near = testNow - nearFor - 1
-	if pause, ok := bs.pause(testNow, &balancer{met: true, domain: "b"}, true); !ok || pause > 200 {
-		t.Errorf("told %v every %d ms", ok, pause)
+	bs.lastLocalProbe = testNow - localBalancerTimeout - 1
+	if interval, ok := bs.reportInterval(testNow, &balancer{everHeard: true, domain: "b"}, true); !ok || interval > 200 {
+		t.Errorf("reports %v every %d ms, want at most 200", ok, interval)
 	}
 }
 
-// All VMs return at once, and the settings of all agents name the same three balancers.
-// Until one of the own failure domain is there each agent tells them at growing pauses, or
-// hundreds of agents would fill their sockets.
-func TestTellSeedsAtReturn(t *testing.T) {
+// All VMs restart at once, and the settings of all agents name the same three balancers.
+// Until a local balancer probes, each agent sends them reports at growing intervals;
+// otherwise hundreds of agents overflow their sockets.
+func TestReportsToSeedsAfterRestart(t *testing.T) {
 	bs := NewBalancers(testNow, "a")
 	bs.Learn(testNow, []netip.AddrPort{testBalancer(0)}, "")
-	told := 0
-	for now := testNow; now < testNow+firstFor; now += 50 {
-		told += len(bs.Due(now, false))
+	reports := 0
+	for now := testNow; now < testNow+startupPeriod; now += 50 {
+		reports += len(bs.DueForReport(now, false))
 	}
-	if told < 4 || told > 10 {
-		t.Errorf("a balancer of the settings was told %d times in %d ms", told, firstFor)
+	if reports < 4 || reports > 10 {
+		t.Errorf("a seed balancer was sent %d reports in %d ms, want 4 to 10", reports, startupPeriod)
 	}
 }
 
-// away is a directory that is away for some calls, and then names a balancer.
-type away struct {
-	mu    sync.Mutex
-	calls int
-	until int
+// fakeFinder fails for some calls, and then returns a balancer.
+type fakeFinder struct {
+	mu       sync.Mutex
+	calls    int
+	failures int
 }
 
-func (d *away) Balancers(context.Context, string) (near, all []netip.AddrPort, err error) {
+func (d *fakeFinder) Balancers(context.Context, string) (local, all []netip.AddrPort, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
-	if d.calls <= d.until {
-		return nil, nil, errors.New("away")
+	if d.calls <= d.failures {
+		return nil, nil, errors.New("unavailable")
 	}
 	return []netip.AddrPort{testBalancer(7)}, nil, nil
 }
 
-// All VMs lost power and the platform is away for another second. The agent knows no
-// balancer; it must look again soon, not seconds after the platform is back.
-func TestFindsAgainSoon(t *testing.T) {
-	a := testAgent(t, false)
-	d := &away{until: 2}
+// All VMs lost power and the platform is unavailable for another second. The agent knows no
+// balancer; it must retry the lookup soon, not seconds after the platform is back.
+func TestLookupIsRetriedSoon(t *testing.T) {
+	a := newTestAgent(t, false)
+	d := &fakeFinder{failures: 2}
 	a.deps = Deps{Finder: d, Clock: &clock.Manual{}, Log: zerolog.Nop()}
 	a.deps.Clock.(*clock.Manual).Add(testNow)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	go a.finds(ctx)
+	go a.runLookups(ctx)
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		found := a.balancers.known[testBalancer(7)] != nil
@@ -148,48 +149,48 @@
 	t.Error("no balancer is known although the platform is back")
 }
 
-// Strangers send parcels from ever new addresses. The agent remembers as many as
-// there may be balancers, and no more.
+// Unknown senders send parcels from ever new addresses. The agent stores at most
+// maxBalancers of them.
 func TestBalancersAreBounded(t *testing.T) {
 	bs := NewBalancers(0, "a")
-	for i := range 3 * mostBalancers {
-		bs.Heard(testNow, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000))
+	for i := range 3 * maxBalancers {
+		bs.RecordHeard(testNow, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000))
 	}
-	if got := len(bs.known); got != mostBalancers {
-		t.Errorf("%d balancers are remembered, want %d", got, mostBalancers)
+	if got := len(bs.known); got != maxBalancers {
+		t.Errorf("%d balancers are stored, want %d", got, maxBalancers)
 	}
 }
 
-// All balancers of a failure domain start anew, some never come back, and none probes: those
-// that are there must be told twice together before they may agree that they know all
-// targets, however many the agent remembers.
-func TestSilentBalancersAreToldInTurn(t *testing.T) {
+// All balancers of a failure domain restart, some never come back, and none probes. Together,
+// those that run must get two reports before they may agree that they know all targets,
+// however many balancers the agent has stored.
+func TestSilentBalancersGetReportsInTurn(t *testing.T) {
 	for known := 1; known <= 24; known++ {
-		for there := 1; there <= known; there++ {
+		for running := 1; running <= known; running++ {
 			bs := NewBalancers(0, "a")
 			for i := range known {
-				bs.Heard(testNow, testBalancer(i))
-				bs.Probed(testNow, testBalancer(i), "a")
+				bs.RecordHeard(testNow, testBalancer(i))
+				bs.RecordProbe(testNow, testBalancer(i), "a")
 			}
 			from := testNow + 317
-			until := from + max(clock.Second, 3*clock.Second/clock.Millis(there)) + 100
-			told, all := 0, 0
+			until := from + max(clock.Second, 3*clock.Second/clock.Millis(running)) + 100
+			reports, all := 0, 0
 			for now := testNow; now < until; now += 50 {
-				for _, at := range bs.Due(now, false) {
+				for _, at := range bs.DueForReport(now, false) {
 					if now < from {
 						continue
 					}
 					all++
-					if at.Compare(testBalancer(there)) < 0 {
-						told++
+					if at.Compare(testBalancer(running)) < 0 {
+						reports++
 					}
 				}
 			}
-			if told < 2 {
-				t.Errorf("%d of %d balancers were told %d times", there, known, told)
+			if reports < 2 {
+				t.Errorf("%d of %d balancers were sent %d reports, want at least 2", running, known, reports)
 			}
-			if seconds := int(until.Sub(from)/clock.Second) + 1; all > seconds*max(known, leastTurns)+known {
-				t.Errorf("%d balancers were told %d times in %d s", known, all, seconds)
+			if seconds := int(until.Sub(from)/clock.Second) + 1; all > seconds*max(known, minTurnsPerSecond)+known {
+				t.Errorf("%d balancers were sent %d reports in %d s", known, all, seconds)
 			}
 		}
 	}
--- a/internal/process/streamagent/balancers.go
+++ b/internal/process/streamagent/balancers.go
@@ -9,62 +9,66 @@
 )
 
 const (
-	// tellLoaded is how often balancers of the own failure domain are told of the target
-	// while its slots are in use, and tellFirst how often those there that were never
-	// heard in the first seconds; else it is stream.ReportEvery.
-	tellLoaded = 150 * clock.Millis(1)
-	tellFirst  = 50 * clock.Millis(1)
-	firstFor   = 4 * clock.Second
-	// silentAfter is the silence after which a balancer of the own failure domain has missed
-	// a probe, and leastTurns how many of those are told a second at least.
-	silentAfter = 300 * clock.Millis(1)
-	leastTurns  = 3
-	// nearFor is the silence after which no balancer of the own failure domain is there:
-	// they probe targets of services without flows every five seconds.
-	nearFor = 6 * clock.Second
-	// knownFor is how long a balancer that was heard is told of changes.
-	knownFor = 60 * clock.Second
+	// loadedReportInterval is the interval of reports to balancers of the agent's own
+	// failure domain while the target's slots are in use. startupReportInterval is the
+	// one, during startupPeriod, for balancers there that were never heard. Otherwise it
+	// is stream.ReportEvery.
+	loadedReportInterval  = 150 * clock.Millis(1)
+	startupReportInterval = 50 * clock.Millis(1)
+	startupPeriod         = 4 * clock.Second
+	// probeTimeout is the time without a report after which a balancer of the agent's own
+	// failure domain has missed a probe. At least minTurnsPerSecond of these are sent a
+	// report each second.
+	probeTimeout      = 300 * clock.Millis(1)
+	minTurnsPerSecond = 3
+	// localBalancerTimeout is the time without a probe after which the agent's own failure
+	// domain counts as having no balancer: balancers probe targets of services without
+	// flows every five seconds.
+	localBalancerTimeout = 6 * clock.Second
+	// balancerRetention is how long a silent balancer is still sent reports.
+	balancerRetention = 60 * clock.Second
 )
 
-// mostBalancers bounds the balancers that an agent reports to: twice as many as are
-// planned for in two years. Anybody may send a parcel; what is over the bound is
-// answered, but not remembered.
-const mostBalancers = 1024
+// maxBalancers bounds the balancers that an agent reports to: twice as many as are
+// planned for in two years. Parcels are not authenticated, so any sender adds an entry;
+// senders beyond the bound are answered, but not stored.
+const maxBalancers = 1024
 
-// balancer is a balancer that the agent reports to.
+// balancer is the state of one balancer that the agent reports to.
 type balancer struct {
-	// met tells that it has spoken to this process, and heard is when it did last,
-	// or when its address was learned.
-	met   bool
-	heard clock.Millis
-	told  clock.Millis
-	// domain is its failure domain, once it has probed; empty before.
+	// everHeard is set once the balancer has sent this process a parcel. lastHeard is
+	// when it last did, or when its address was learned.
+	everHeard  bool
+	lastHeard  clock.Millis
+	reportedAt clock.Millis
+	// domain is its failure domain; empty while unknown.
 	domain string
-	// pause is the last one before it was told, while it was never heard.
-	pause clock.Millis
+	// lastInterval is the interval that preceded the last periodic report. It doubles
+	// during startupPeriod while the balancer was never heard.
+	lastInterval clock.Millis
 }
 
-// Balancers are those that an agent reports to, and decide when each is told. It is pure:
-// time is an argument.
+// Balancers holds the balancers that an agent reports to, and decides when each is sent
+// a report. It does no I/O and takes the time as an argument.
 type Balancers struct {
-	// domain is the agent's failure domain, and started when its process began.
-	domain  string
-	started clock.Millis
-	known   map[netip.AddrPort]*balancer
-	// probed is when a balancer has probed last, and near when one of the own failure
-	// domain has; zero if none did.
-	probed clock.Millis
-	near   clock.Millis
-	// turn is when the last one was told whose turn it was.
-	turn clock.Millis
-}
-
-// NewBalancers returns what an agent of a failure domain knows that has just started.
+	// domain is the agent's failure domain, and startedAt when its process started.
+	domain    string
+	startedAt clock.Millis
+	known     map[netip.AddrPort]*balancer
+	// lastProbe is the time of the last probe from any balancer, and lastLocalProbe from
+	// one of the agent's own failure domain; zero if there was none.
+	lastProbe      clock.Millis
+	lastLocalProbe clock.Millis
+	// lastTurn is when nextInTurn last returned a balancer.
+	lastTurn clock.Millis
+}
+
+// NewBalancers returns the empty state of an agent that starts in a failure domain.
 func NewBalancers(now clock.Millis, domain string) *Balancers {
-	return &Balancers{domain: domain, started: now, known: map[netip.AddrPort]*balancer{}}
+	return &Balancers{domain: domain, startedAt: now, known: map[netip.AddrPort]*balancer{}}
 }
 
-// Learn adds balancers of a failure domain, or with an empty one of any.
+// Learn adds balancers of a failure domain. An empty domain means that it is unknown.
 func (bs *Balancers) Learn(now clock.Millis, addresses []netip.AddrPort, domain string) {
 	for _, at := range addresses {
 		b := bs.known[at]
@@ -73,7 +77,7 @@
 			if b == nil {
 				return
 			}
-			b.heard = now
+			b.lastHeard = now
 		}
 		if b.domain == "" {
 			b.domain = domain
@@ -81,35 +85,37 @@
 	}
 }
 
-// add returns what is remembered of a balancer, or nil if there is no room for another.
+// add returns the entry of a balancer, creating it if needed, or nil if there is no
+// room for another.
 func (bs *Balancers) add(at netip.AddrPort) *balancer {
 	b := bs.known[at]
-	if b == nil && len(bs.known) < mostBalancers {
+	if b == nil && len(bs.known) < maxBalancers {
 		b = &balancer{}
 		bs.known[at] = b
 	}
 	return b
 }
 
-// Heard notes that a balancer has spoken.
-func (bs *Balancers) Heard(now clock.Millis, from netip.AddrPort) {
+// RecordHeard records that a balancer has sent a parcel.
+func (bs *Balancers) RecordHeard(now clock.Millis, from netip.AddrPort) {
 	if b := bs.add(from); b != nil {
-		b.met, b.heard = true, now
+		b.everHeard, b.lastHeard = true, now
 	}
 }
 
-// Probed notes that a balancer of a failure domain has probed, which is answered.
-func (bs *Balancers) Probed(now clock.Millis, from netip.AddrPort, domain string) {
-	bs.probed = now
+// RecordProbe records a probe from a balancer of a failure domain. Its answer counts as
+// a report.
+func (bs *Balancers) RecordProbe(now clock.Millis, from netip.AddrPort, domain string) {
+	bs.lastProbe = now
 	if domain == bs.domain {
-		bs.near = now
+		bs.lastLocalProbe = now
 	}
 	if b := bs.known[from]; b != nil {
-		b.domain, b.told = domain, now
+		b.domain, b.reportedAt = domain, now
 	}
 }
 
-// Domain returns the failure domain of a balancer, as far as it is known.
+// Domain returns the failure domain of a balancer, or an empty string if it is unknown.
 func (bs *Balancers) Domain(at netip.AddrPort) string {
 	if b := bs.known[at]; b != nil {
 		return b.domain
@@ -117,115 +123,118 @@
 	return ""
 }
 
-// Alone reports that no balancer of the own failure domain is there.
-func (bs *Balancers) Alone(now clock.Millis) bool {
-	return now.Sub(max(bs.near, bs.started)) > nearFor
+// NoLocalBalancer reports whether no balancer of the agent's own failure domain has
+// probed within localBalancerTimeout.
+func (bs *Balancers) NoLocalBalancer(now clock.Millis) bool {
+	return now.Sub(max(bs.lastLocalProbe, bs.startedAt)) > localBalancerTimeout
 }
 
-// Lonely reports that no balancer at all probes the target.
-func (bs *Balancers) Lonely(now clock.Millis) bool {
-	return now.Sub(bs.probed) > 2*clock.Second
+// Unprobed reports whether no balancer of any failure domain has probed recently.
+func (bs *Balancers) Unprobed(now clock.Millis) bool {
+	return now.Sub(bs.lastProbe) > 2*clock.Second
 }
 
-// pause is the one until a balancer is told unasked, and whether it is told at all. loaded
-// tells that the target's slots are in use.
+// reportInterval returns the interval of unsolicited reports to a balancer, and whether
+// it is sent any. loaded tells whether the target's slots are in use.
 //
-// Balancers of the own failure domain ask, and tell those of others; what is unasked
-// repairs that where one does not know the target yet. One that was never heard may be
-// starting while callers wait. Where none of the own failure domain asks, all that are
-// known are told.
-func (bs *Balancers) pause(now clock.Millis, b *balancer, loaded bool) (clock.Millis, bool) {
-	first := now.Sub(bs.started) < firstFor
-	served := bs.near != 0 && !bs.Alone(now)
-	near := b.domain == bs.domain
+// Balancers of the agent's own failure domain probe the target and pass its state on to
+// those of other domains. Unsolicited reports cover a local balancer that does not know
+// the target yet: one that was never heard may be starting while callers wait. If no
+// local balancer probes, all known balancers are sent reports.
+func (bs *Balancers) reportInterval(now clock.Millis, b *balancer, loaded bool) (clock.Millis, bool) {
+	starting := now.Sub(bs.startedAt) < startupPeriod
+	probedLocally := bs.lastLocalProbe != 0 && !bs.NoLocalBalancer(now)
+	local := b.domain == bs.domain
 	switch {
-	case !near && served:
+	case !local && probedLocally:
 		return 0, false
-	case near && !b.met && first:
-		return tellFirst, true
-	case !b.met && first:
-		return min(max(2*b.pause, tellFirst), stream.ReportEvery), true
+	case local && !b.everHeard && starting:
+		return startupReportInterval, true
+	case !b.everHeard && starting:
+		return min(max(2*b.lastInterval, startupReportInterval), stream.ReportEvery), true
 	case loaded:
-		return tellLoaded, true
+		return loadedReportInterval, true
 	default:
 		return stream.ReportEvery, true
 	}
 }
 
-// Due returns the balancers to tell now, and notes that they are told.
-func (bs *Balancers) Due(now clock.Millis, loaded bool) []netip.AddrPort {
-	bs.forget(now)
+// DueForReport returns the balancers to send a report now, and marks them as reported to.
+func (bs *Balancers) DueForReport(now clock.Millis, loaded bool) []netip.AddrPort {
+	bs.removeSilent(now)
 	var due []netip.AddrPort
 	for at, b := range bs.known {
-		pause, ok := bs.pause(now, b, loaded)
-		if !ok || now.Sub(b.told) < pause {
+		interval, ok := bs.reportInterval(now, b, loaded)
+		if !ok || now.Sub(b.reportedAt) < interval {
 			continue
 		}
-		b.pause = pause
+		b.lastInterval = interval
 		due = append(due, at)
 	}
-	if at, ok := bs.next(now); ok && !slices.Contains(due, at) {
+	if at, ok := bs.nextInTurn(now); ok && !slices.Contains(due, at) {
 		due = append(due, at)
 	}
-	return bs.tell(now, due)
+	return bs.markReported(now, due)
 }
 
-// next returns the balancer of the own failure domain whose turn it is: of those that have
-// missed a probe the one that was told the longest ago.
+// nextInTurn returns the balancer of the agent's own failure domain that is due next in
+// turn: among those that have missed a probe, the one with the oldest report.
 //
-// All balancers of a failure domain may have started anew, and each must hear of every
-// target, from any of the others as well, before it may say that nobody holds a flow. Told
-// in turn, one of them hears within a part of a second what each alone hears within one.
-func (bs *Balancers) next(now clock.Millis) (netip.AddrPort, bool) {
-	var longest netip.AddrPort
-	near := 0
+// All balancers of a failure domain may have restarted. Each must learn of every target,
+// from an agent or from another balancer, before it may declare a flow unowned. Reports
+// in turn reach one of them within a fraction of a second; the periodic reports reach
+// each within one second.
+func (bs *Balancers) nextInTurn(now clock.Millis) (netip.AddrPort, bool) {
+	var oldest netip.AddrPort
+	local := 0
 	for at, b := range bs.known {
 		if b.domain != bs.domain {
 			continue
 		}
-		near++
-		if now.Sub(b.told) < silentAfter {
+		local++
+		if now.Sub(b.reportedAt) < probeTimeout {
 			continue
 		}
-		if !longest.IsValid() || before(at, b, longest, bs.known[longest]) {
-			longest = at
+		if !oldest.IsValid() || reportedBefore(at, b, oldest, bs.known[oldest]) {
+			oldest = at
 		}
 	}
-	turns := clock.Millis(max(near, leastTurns))
-	if !longest.IsValid() || now.Sub(bs.turn) < stream.ReportEvery/turns {
+	turns := clock.Millis(max(local, minTurnsPerSecond))
+	if !oldest.IsValid() || now.Sub(bs.lastTurn) < stream.ReportEvery/turns {
 		return netip.AddrPort{}, false
 	}
-	bs.turn = now
-	return longest, true
+	bs.lastTurn = now
+	return oldest, true
 }
 
-// before reports whether a balancer was told before another one.
-func before(a netip.AddrPort, b *balancer, other netip.AddrPort, o *balancer) bool {
-	return b.told < o.told || b.told == o.told && a.Compare(other) < 0
+// reportedBefore reports whether a balancer's last report is older than another one's.
+func reportedBefore(a netip.AddrPort, b *balancer, other netip.AddrPort, o *balancer) bool {
+	return b.reportedAt < o.reportedAt || b.reportedAt == o.reportedAt && a.Compare(other) < 0
 }
 
-// All returns all balancers, and notes that they are told.
+// All returns all balancers, and marks them as reported to.
 func (bs *Balancers) All(now clock.Millis) []netip.AddrPort {
-	bs.forget(now)
+	bs.removeSilent(now)
 	var all []netip.AddrPort
 	for at := range bs.known {
 		all = append(all, at)
 	}
-	return bs.tell(now, all)
+	return bs.markReported(now, all)
 }
 
-func (bs *Balancers) tell(now clock.Millis, to []netip.AddrPort) []netip.AddrPort {
+func (bs *Balancers) markReported(now clock.Millis, to []netip.AddrPort) []netip.AddrPort {
 	for _, at := range to {
-		bs.known[at].told = now
+		bs.known[at].reportedAt = now
 	}
 	slices.SortFunc(to, netip.AddrPort.Compare)
 	return to
 }
 
-// forget drops the balancers that were silent for long, but the last.
-func (bs *Balancers) forget(now clock.Millis) {
+// removeSilent removes the balancers that were not heard for balancerRetention, but
+// keeps at least one.
+func (bs *Balancers) removeSilent(now clock.Millis) {
 	for at, b := range bs.known {
-		if now.Sub(b.heard) > knownFor && len(bs.known) > 1 {
+		if now.Sub(b.lastHeard) > balancerRetention && len(bs.known) > 1 {
 			delete(bs.known, at)
 		}
 	}
--- /dev/null
+++ b/internal/process/streamagent/lookup.go
@@ -0,0 +1,86 @@
+package streamagent
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"net"
+	"syscall"
+	"time"
+
+	"github.com/wagtailtray/wagtailtray/internal/connection/stream"
+	"github.com/wagtailtray/wagtailtray/pkg/clock"
+)
+
+// checkTarget dials the target's address to check whether a process listens there.
+func (a *Agent) checkTarget(ctx context.Context) {
+	result, err := a.dialTarget(ctx)
+	if err != nil {
+		a.deps.Log.Debug().Str("event", "look").Err(err).Send()
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.tracker.Checked(a.deps.Clock.Now(), result)
+	a.flush()
+}
+
+func (a *Agent) dialTarget(ctx context.Context) (stream.Look, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp4", a.settings.Target.String())
+	switch {
+	case err == nil:
+		return stream.Listening, conn.Close()
+	case errors.Is(err, syscall.ECONNREFUSED):
+		return stream.Refusing, nil
+	default:
+		return stream.Unanswered, err
+	}
+}
+
+// runLookups looks up balancers while none probes this target. A failed lookup is retried
+// soon: after a loss of power only the platform knows the balancers' addresses.
+func (a *Agent) runLookups(ctx context.Context) {
+	delay, retry := clock.Millis(0), minLookupRetryDelay
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(delay.Duration()):
+		}
+		switch {
+		case !a.unprobed():
+			delay, retry = clock.Second, minLookupRetryDelay
+		case a.lookUpBalancers(ctx):
+			delay, retry = lookupInterval, minLookupRetryDelay
+		default:
+			delay, retry = retry/2+rand.N(retry/2), min(2*retry, lookupInterval)
+		}
+	}
+}
+
+// unprobed reports whether no balancer probes this target.
+func (a *Agent) unprobed() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.balancers.Unprobed(a.deps.Clock.Now())
+}
+
+// lookUpBalancers looks up balancers, and reports whether the platform answered.
+func (a *Agent) lookUpBalancers(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	local, all, err := a.deps.Finder.Balancers(ctx, a.settings.Domain)
+	if err != nil {
+		a.deps.Log.Warn().Str("event", "nodirectory").Err(err).Msg("looking up balancers failed; retrying")
+		return false
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.deps.Clock.Now()
+	a.balancers.Learn(now, local, a.settings.Domain)
+	if len(local) == 0 || a.balancers.NoLocalBalancer(now) {
+		a.balancers.Learn(now, all, "")
+	}
+	return true
+}
--- a/internal/process/streamagent/restore.go
+++ b/internal/process/streamagent/restore.go
@@ -12,45 +12,46 @@
 )
 
 const (
-	// readTimeout bounds a call that reads the entry: a slow store answers in some
-	// 400 ms.
+	// readTimeout bounds a read from the platform: a slow store answers in some 400 ms.
 	readTimeout = 800 * time.Millisecond
-	// firstReread and lastReread are the pauses between calls that read, doubling.
-	firstReread = 100 * time.Millisecond
-	lastReread  = 2 * time.Second
-	// spreadReads is over how long the agents of a failure domain read that are told at
-	// the same time that the platform answers.
-	spreadReads = 50 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay before a failed read is retried,
+	// which doubles.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
+	// readJitter spreads the reads of a failure domain's agents, which learn at the same
+	// time that the platform is reachable.
+	readJitter = 50 * time.Millisecond
 )
 
-// Checkpoints is where the flows of targets are kept.
-type Checkpoints interface {
-	// Entry returns what is kept of an agent's target, or platform.ErrNotFound.
+// CheckpointReader reads the stored flows of targets.
+type CheckpointReader interface {
+	// Entry returns the checkpoint entry of an agent's target, or platform.ErrNotFound.
 	Entry(ctx context.Context, agent netip.AddrPort) (checkpoint.Entry, error)
 }
 
-// restores reads what an earlier process has left: again and again while the platform
-// does not answer, and once a balancer says that it does. It gives up when the flows in
-// it are older than a flow may be.
-func (a *Agent) restores(ctx context.Context) {
-	pause := firstReread
-	for ctx.Err() == nil && a.deps.Clock.Now().Sub(a.started) < a.settings.FlowLife {
-		if a.restored(ctx) {
+// runRestore reads the checkpoint of an earlier agent process. It retries while the
+// platform does not answer, and at once when a balancer's probe shows that the platform
+// is reachable. It gives up after Settings.FlowTTL, when all flows in the checkpoint have
+// expired.
+func (a *Agent) runRestore(ctx context.Context) {
+	delay := minRetryDelay
+	for ctx.Err() == nil && a.deps.Clock.Now().Sub(a.startedAt) < a.settings.FlowTTL {
+		if a.tryRestore(ctx) {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-a.readable:
-			time.Sleep(rand.N(spreadReads))
-		case <-time.After(pause/2 + rand.N(pause/2)):
+		case <-a.restoreWake:
+			time.Sleep(rand.N(readJitter))
+		case <-time.After(delay/2 + rand.N(delay/2)):
 		}
-		pause = min(2*pause, lastReread)
+		delay = min(2*delay, maxRetryDelay)
 	}
 	a.restore(nil)
 }
 
-// restored reads the entry once, and reports whether that is done.
-func (a *Agent) restored(ctx context.Context) bool {
+// tryRestore reads the entry once, and reports whether no retry is needed.
+func (a *Agent) tryRestore(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	e, err := a.deps.Checkpoints.Entry(ctx, a.settings.Parcels)
@@ -62,7 +63,7 @@
 		a.restore(nil)
 		return true
 	}
-	a.deps.Log.Warn().Str("event", "nocheckpoint").Err(err).Msg("the flows of before cannot be read")
+	a.deps.Log.Warn().Str("event", "nocheckpoint").Err(err).Msg("reading the checkpoint of the earlier process failed")
 	if errors.Is(err, checkpoint.ErrFormat) || errors.Is(err, checkpoint.ErrUnreadable) {
 		a.restore(nil)
 		return true
@@ -73,6 +74,6 @@
 func (a *Agent) restore(e *checkpoint.Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.holder.Restore(a.deps.Clock.Now(), time.Now().UnixMilli(), e)
+	a.tracker.Restore(a.deps.Clock.Now(), time.Now().UnixMilli(), e)
 	a.flush()
 }
--- a/internal/process/streambalancer/fleet_test.go
+++ b/internal/process/streambalancer/fleet_test.go
@@ -176,9 +176,9 @@
 	if to.told == nil {
 		return
 	}
-	to.told.Heard(now, from)
+	to.told.RecordHeard(now, from)
 	if p.Verb == wire.Verb_VERB_PROBE {
-		to.told.Probed(now, from, p.Report.Domain)
+		to.told.RecordProbe(now, from, p.Report.Domain)
 	}
 	to.holder.Hear(now, from, p, nil)
 	f.flush(to)
@@ -329,7 +329,7 @@
 	var step func()
 	step = func() {
 		now := f.tick(s)
-		s.holder.Tell(now, s.told.Due(now, s.holder.Loaded()))
+		s.holder.Tell(now, s.told.DueForReport(now, s.holder.Loaded()))
 		s.holder.Tick(now)
 		f.flush(s)
 		f.after(50_000, step)
