--- a/internal/process/checkpoints/checkpoints.go
+++ b/internal/process/checkpoints/checkpoints.go
@@ -1,18 +1,18 @@
-// Package checkpoints keeps the sheets of package checkpoint in the platform's store.
+// Package checkpoints stores the shards of package checkpoint in the platform's store.
 //
 // # The model
 //
-// The sheets of a failure domain are objects named DOMAIN, DOMAIN.1, DOMAIN.2 and so
-// on. Writes name the revision that they replace: a write whose answer was lost may be
-// carried out seconds later, beside another keeper, and must not replace what that one
-// has written. After a conflict the keeper loads the sheet that is there.
+// The shards of a failure domain are objects named DOMAIN, DOMAIN.1, DOMAIN.2 and so
+// on. Each write names the resource version that it replaces: a write whose response was
+// lost may be applied seconds later and must not overwrite what another keeper has
+// written since. After a conflict the keeper loads the stored shard.
 //
 // # Usage
 //
 //	s := checkpoints.New(store, domain)
-//	entry, err := s.Entry(ctx, agent)   // an agent that starts
-//	sheet, err := s.Load(ctx, 0)        // a keeper, before it writes
-//	err = s.Write(ctx, &sheet)
+//	entry, err := s.Entry(ctx, agent)   // a starting agent
+//	shard, err := s.Load(ctx, 0)        // a keeper, before it writes
+//	err = s.Write(ctx, &shard)
 package checkpoints
 
 import (
@@ -28,105 +28,106 @@
 	"github.com/wagtailtray/wagtailtray/pkg/platform"
 )
 
-// Backend is what of the platform's store is used.
+// Backend is the part of the platform's store that Store uses.
 type Backend interface {
-	// Peek reads one object from a copy that may be some seconds old.
+	// Peek reads one object from a copy that may be some seconds stale.
 	Peek(ctx context.Context, kind platform.Kind, name string) (platform.Object, error)
 	Get(ctx context.Context, kind platform.Kind, name string) (platform.Object, error)
 	Create(ctx context.Context, kind platform.Kind, name string, spec any) (platform.Object, error)
 	Update(ctx context.Context, kind platform.Kind, o platform.Object) (platform.Object, error)
 }
 
-// Store reads and writes the sheets of a failure domain. It is not safe for concurrent
+// Store reads and writes the shards of a failure domain. It is not safe for concurrent
 // use.
 type Store struct {
 	backend Backend
 	domain  string
-	// versions are those of the objects as they were seen last, by shard.
-	versions map[int]uint64
+	// resourceVersions are the last seen versions of the objects, by shard index.
+	resourceVersions map[int]uint64
 }
 
-// New returns the store of a failure domain's sheets.
+// New returns a store for the shards of a failure domain.
 func New(backend Backend, domain string) *Store {
-	return &Store{backend: backend, domain: domain, versions: map[int]uint64{}}
+	return &Store{backend: backend, domain: domain, resourceVersions: map[int]uint64{}}
 }
 
-func (s *Store) name(shard int) string {
-	if shard == 0 {
+func (s *Store) objectName(index int) string {
+	if index == 0 {
 		return s.domain
 	}
-	return fmt.Sprint(s.domain, ".", shard)
+	return fmt.Sprint(s.domain, ".", index)
 }
 
 // Entry returns the entry of an agent's target, or platform.ErrNotFound. It may be some
-// seconds old.
+// seconds stale.
 func (s *Store) Entry(ctx context.Context, agent netip.AddrPort) (checkpoint.Entry, error) {
-	sheet, err := s.peek(ctx, 0)
+	shard, err := s.peek(ctx, 0)
 	if err != nil {
 		return checkpoint.Entry{}, err
 	}
-	if shard := checkpoint.ShardOf(agent, sheet.Shards); shard > 0 {
-		if sheet, err = s.peek(ctx, shard); err != nil {
+	if index := checkpoint.ShardOf(agent, shard.Shards); index > 0 {
+		if shard, err = s.peek(ctx, index); err != nil {
 			return checkpoint.Entry{}, err
 		}
 	}
-	e, ok := sheet.Find(agent)
+	e, ok := shard.Find(agent)
 	if !ok {
 		return checkpoint.Entry{}, platform.ErrNotFound
 	}
 	return e, nil
 }
 
-func (s *Store) peek(ctx context.Context, shard int) (checkpoint.Sheet, error) {
-	o, err := s.backend.Peek(ctx, platform.Checkpoints, s.name(shard))
+func (s *Store) peek(ctx context.Context, index int) (checkpoint.Sheet, error) {
+	o, err := s.backend.Peek(ctx, platform.Checkpoints, s.objectName(index))
 	if err != nil {
 		return checkpoint.Sheet{}, err
 	}
 	return decode(o)
 }
 
-// decode reads a sheet. The store's errors are its own; what is not a sheet is
-// checkpoint.ErrUnreadable or ErrFormat.
+// decode decodes a shard. An invalid one gives checkpoint.ErrUnreadable or
+// checkpoint.ErrFormat, which no call to the store returns.
 func decode(o platform.Object) (checkpoint.Sheet, error) {
-	var sheet checkpoint.Sheet
-	err := sheet.UnmarshalJSON(o.Spec)
-	return sheet, err
+	var shard checkpoint.Sheet
+	err := shard.UnmarshalJSON(o.Spec)
+	return shard, err
 }
 
-// Load reads one sheet as it is, for the next write. A missing one is
-// platform.ErrNotFound; one that cannot be read is replaced by that write.
-func (s *Store) Load(ctx context.Context, shard int) (checkpoint.Sheet, error) {
-	o, err := s.backend.Get(ctx, platform.Checkpoints, s.name(shard))
+// Load reads the current version of one shard, which the next write replaces. It returns
+// platform.ErrNotFound if there is none. The next write also replaces a shard that cannot
+// be decoded.
+func (s *Store) Load(ctx context.Context, index int) (checkpoint.Sheet, error) {
+	o, err := s.backend.Get(ctx, platform.Checkpoints, s.objectName(index))
 	if errors.Is(err, platform.ErrNotFound) {
-		s.versions[shard] = 0
+		s.resourceVersions[index] = 0
 	}
 	if err != nil {
 		return checkpoint.Sheet{}, err
 	}
-	s.versions[shard] = o.Metadata.ResourceVersion
+	s.resourceVersions[index] = o.Metadata.ResourceVersion
 	return decode(o)
 }
 
-// Write replaces the sheet that was seen last. platform.ErrConflict means that another
-// one is there; it must be loaded first.
-func (s *Store) Write(ctx context.Context, sheet *checkpoint.Sheet) error {
-	o, err := s.write(ctx, sheet)
+// Write replaces the last seen version of a shard. It returns platform.ErrConflict if the
+// stored version is a different one, which must be loaded first.
+func (s *Store) Write(ctx context.Context, shard *checkpoint.Sheet) error {
+	o, err := s.write(ctx, shard)
 	if errors.Is(err, platform.ErrExists) || errors.Is(err, platform.ErrNotFound) {
 		return errs.Combine(platform.ErrConflict, err)
 	}
 	if err != nil {
 		return err
 	}
-	s.versions[sheet.Shard] = o.Metadata.ResourceVersion
+	s.resourceVersions[shard.Shard] = o.Metadata.ResourceVersion
 	return nil
 }
 
-func (s *Store) write(ctx context.Context, sheet *checkpoint.Sheet) (platform.Object, error) {
-	name, version := s.name(sheet.Shard), s.versions[sheet.Shard]
+func (s *Store) write(ctx context.Context, shard *checkpoint.Sheet) (platform.Object, error) {
+	name, version := s.objectName(shard.Shard), s.resourceVersions[shard.Shard]
 	if version == 0 {
-		return s.backend.Create(ctx, platform.Checkpoints, name, sheet)
+		return s.backend.Create(ctx, platform.Checkpoints, name, shard)
 	}
-	data, err := json.Marshal(sheet)
+	data, err := json.Marshal(shard)
 	if err != nil {
 		return platform.Object{}, errs.Wrap(err)
 	}
