--- a/internal/process/parcels/parcels.go
+++ b/internal/process/parcels/parcels.go
@@ -1,11 +1,11 @@
-// Package parcels sends and receives the datagrams between the balancers and
-// agents of connections.
+// Package parcels sends and receives the datagrams between balancers and agents
+// of services whose flows are connections.
 //
 // # The model
 //
-// A parcel is one datagram. It may be lost, doubled or late; who needs an answer
-// asks again. Parcels are not authenticated: the network between the VMs of the
-// system has to keep strangers out, as the pages for operators say.
+// A parcel is one datagram. It may be lost, duplicated or delayed; a sender that needs
+// an answer retries. Parcels are not authenticated: the network between the VMs of the
+// system has to block other senders, as the pages for operators say.
 //
 // # Usage
 //
@@ -29,12 +29,12 @@
 const (
 	// maxDatagram is the largest UDP payload.
 	maxDatagram = 65507
-	// receiveBuffer is what the kernel keeps of datagrams that are not read
-	// yet, in bytes: a hundred milliseconds at 100 Mbit/s.
-	receiveBuffer = 1 << 20
+	// receiveBufferBytes is the size of the kernel's buffer for unread datagrams: a
+	// hundred milliseconds at 100 Mbit/s.
+	receiveBufferBytes = 1 << 20
 )
 
-// Socket is one UDP socket for parcels.
+// Socket is a UDP socket for parcels.
 type Socket struct {
 	conn      *net.UDPConn
 	codec     segment.Codec
@@ -42,8 +42,8 @@
 	pool      sync.Pool
 }
 
-// Listen opens the socket. malformed is called for a datagram that is no parcel,
-// or whose packet cannot be read.
+// Listen opens a socket. malformed is called for each datagram that is not a valid
+// parcel, or whose packet cannot be decoded.
 func Listen(address netip.AddrPort, codec segment.Codec, malformed func(from netip.AddrPort, err error)) (*Socket, error) {
 	conn, err := ListenUDP(address)
 	if err != nil {
@@ -54,13 +54,13 @@
 	return s, nil
 }
 
-// ListenUDP opens a UDP socket with room for bursts.
+// ListenUDP opens a UDP socket with a receive buffer for bursts.
 func ListenUDP(address netip.AddrPort) (*net.UDPConn, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	if err := conn.SetReadBuffer(receiveBuffer); err != nil {
+	if err := conn.SetReadBuffer(receiveBufferBytes); err != nil {
 		return nil, errs.Combine(errs.Wrap(err), conn.Close())
 	}
 	return conn, nil
@@ -87,11 +87,11 @@
 	return size, errs.Wrap(err)
 }
 
-// Serve hands each parcel, and the segment of its packet if it has one, to the
-// handler until the socket is closed. The handler may keep them.
+// Serve calls the handler with each parcel, and the segment of its packet if it has
+// one, until the socket is closed. The handler may retain both.
 func (s *Socket) Serve(handle func(from netip.AddrPort, p *wire.Parcel, seg *segment.Segment)) {
-	in := make([]byte, maxDatagram)
-	Receive(s.conn, in, func(from netip.AddrPort, datagram []byte) {
+	buffer := make([]byte, maxDatagram)
+	Receive(s.conn, buffer, func(from netip.AddrPort, datagram []byte) {
 		p := &wire.Parcel{}
 		if err := p.UnmarshalVT(datagram); err != nil {
 			s.malformed(from, err)
@@ -110,14 +110,14 @@
 	})
 }
 
-// Packets hands each packet of a flow that arrives at a socket, with its segment, to
-// the handler until the socket is closed. The handler must not keep the packet.
-func Packets(
+// ServePackets calls the handler with each packet of a flow that arrives at a socket,
+// and its segment, until the socket is closed. The handler must not retain the packet.
+func ServePackets(
 	conn *net.UDPConn, codec segment.Codec, malformed func(from netip.AddrPort, err error),
 	handle func(seg *segment.Segment, packet []byte),
 ) {
-	in := make([]byte, segment.MaxPacket)
-	Receive(conn, in, func(from netip.AddrPort, packet []byte) {
+	buffer := make([]byte, segment.MaxPacket)
+	Receive(conn, buffer, func(from netip.AddrPort, packet []byte) {
 		seg, err := codec.Decode(packet)
 		if err != nil {
 			malformed(from, err)
@@ -127,22 +127,22 @@
 	})
 }
 
-// Receive reads datagrams until the socket is closed. An error of one datagram,
-// such as a port that is not open, ends nothing.
-func Receive(conn *net.UDPConn, in []byte, handle func(from netip.AddrPort, datagram []byte)) {
+// Receive calls the handler with each datagram until the socket is closed. Errors of a
+// single datagram, such as a destination port that is not open, are ignored.
+func Receive(conn *net.UDPConn, buffer []byte, handle func(from netip.AddrPort, datagram []byte)) {
 	for {
-		n, from, err := conn.ReadFromUDPAddrPort(in)
+		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		handle(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), in[:n])
+		handle(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:n])
 	}
 }
 
-// Close ends Serve.
+// Close closes the socket, which makes Serve return.
 func (s *Socket) Close() error {
 	return errs.Wrap(s.conn.Close())
 }
--- a/internal/process/parcels/traffic.go
+++ b/internal/process/parcels/traffic.go
@@ -10,80 +10,81 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// trafficEvery is the pause between two lines about what was sent.
-const trafficEvery = 10 * clock.Second
+// trafficLogInterval is the interval between two log lines about sent parcels.
+const trafficLogInterval = 10 * clock.Second
 
-// verbs is how many verbs are counted; what is above has the place of none.
-const verbs = int(wire.Verb_VERB_SUMMARY) + 1
+// verbCount is the number of verbs that are counted separately; higher ones count as
+// VERB_NONE.
+const verbCount = int(wire.Verb_VERB_SUMMARY) + 1
 
-// Traffic counts the parcels that a process sends, by verb, and those of them that leave
-// its failure domain, which are paid for by the byte.
+// Traffic counts the parcels and bytes that a process sends, by verb. Parcels that leave
+// its failure domain are counted separately, because they are charged by the byte.
 //
-// It is used under the lock of the process.
+// The caller must hold the lock of the process.
 type Traffic struct {
-	log    zerolog.Logger
-	near   [verbs]load
-	far    [verbs]load
-	scopes [verbs]tally.Counter
-	told   clock.Millis
+	log      zerolog.Logger
+	local    [verbCount]sentCount
+	remote   [verbCount]sentCount
+	counters [verbCount]tally.Counter
+	loggedAt clock.Millis
 }
 
-// load is how many parcels there were and how many bytes they had.
-type load struct{ parcels, bytes int }
+// sentCount is a number of parcels and their total size.
+type sentCount struct{ parcels, bytes int }
 
-func (l *load) add(size int) {
-	l.parcels++
-	l.bytes += size
+func (c *sentCount) add(size int) {
+	c.parcels++
+	c.bytes += size
 }
 
-// NewTraffic returns counts of nothing.
+// NewTraffic returns a Traffic with all counts at zero.
 func NewTraffic(log zerolog.Logger, scope tally.Scope) *Traffic {
 	t := &Traffic{log: log}
-	for v := range t.scopes {
-		t.scopes[v] = scope.Counter("sent_" + name(v))
+	for v := range t.counters {
+		t.counters[v] = scope.Counter("sent_" + verbName(v))
 	}
 	return t
 }
 
-func name(verb int) string {
+func verbName(verb int) string {
 	return strings.ToLower(strings.TrimPrefix(wire.Verb(verb).String(), "VERB_"))
 }
 
-// Sent notes a parcel; far tells that it leaves the failure domain.
-func (t *Traffic) Sent(verb wire.Verb, far bool, size int) {
+// RecordSent counts a sent parcel; remote tells whether it leaves the failure domain.
+func (t *Traffic) RecordSent(verb wire.Verb, remote bool, size int) {
 	v := int(verb)
-	if v < 0 || v >= verbs {
+	if v < 0 || v >= verbCount {
 		v = 0
 	}
-	t.scopes[v].Inc(1)
-	if far {
-		t.far[v].add(size)
+	t.counters[v].Inc(1)
+	if remote {
+		t.remote[v].add(size)
 		return
 	}
-	t.near[v].add(size)
+	t.local[v].add(size)
 }
 
-// Tell writes a line about what was sent since the last one, if it is time or the process
-// stops, and reports whether it did.
-func (t *Traffic) Tell(now clock.Millis, stops bool) bool {
-	if t.told == 0 {
-		t.told = now
+// LogIfDue logs the parcels that were sent since the last line, if trafficLogInterval is
+// over or the process stops, and reports whether it did.
+func (t *Traffic) LogIfDue(now clock.Millis, stopping bool) bool {
+	if t.loggedAt == 0 {
+		t.loggedAt = now
 	}
-	if !stops && now.Sub(t.told) < trafficEvery {
+	if !stopping && now.Sub(t.loggedAt) < trafficLogInterval {
 		return false
 	}
-	t.log.Info().Str("event", "traffic").Int64("age", int64(now.Sub(t.told))).
-		Dict("near", dict(&t.near)).Dict("far", dict(&t.far)).Send()
-	t.told, t.near, t.far = now, [verbs]load{}, [verbs]load{}
+	t.log.Info().Str("event", "traffic").Int64("age", int64(now.Sub(t.loggedAt))).
+		Dict("near", logDict(&t.local)).Dict("far", logDict(&t.remote)).Send()
+	t.loggedAt, t.local, t.remote = now, [verbCount]sentCount{}, [verbCount]sentCount{}
 	return true
 }
 
-// dict lists the verbs that were sent: parcels and bytes.
-func dict(loads *[verbs]load) *zerolog.Event {
+// logDict returns the parcels and bytes of each verb that was sent.
+func logDict(counts *[verbCount]sentCount) *zerolog.Event {
 	d := zerolog.Dict()
-	for v, l := range loads {
-		if l.parcels > 0 {
-			d.Ints(name(v), []int{l.parcels, l.bytes})
+	for v, c := range counts {
+		if c.parcels > 0 {
+			d.Ints(verbName(v), []int{c.parcels, c.bytes})
 		}
 	}
 	return d
--- a/internal/process/streamagent/agent.go
+++ b/internal/process/streamagent/agent.go
@@ -211,7 +211,7 @@
 // serveTarget processes the packets that the target sends.
 func (a *Agent) serveTarget() {
 	noteMalformed := func(from netip.AddrPort, err error) { a.malformed.Note("outbound", from, err) }
-	parcels.Packets(a.outbound, a.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
+	parcels.ServePackets(a.outbound, a.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.tracker.FromTarget(a.deps.Clock.Now(), seg, packet)
@@ -257,7 +257,7 @@
 		a.unsent.Inc(1)
 		return
 	}
-	a.traffic.Sent(p.Verb, a.balancers.Domain(to) != a.settings.Domain, size)
+	a.traffic.RecordSent(p.Verb, a.balancers.Domain(to) != a.settings.Domain, size)
 }
 
 func (a *Agent) writeToCaller(packet []byte) {
@@ -316,7 +316,7 @@
 		a.tracker.Tell(now, a.balancers.DueForReport(now, a.tracker.Loaded()))
 		dialDue := a.tracker.Doubts(now)
 		a.flush()
-		a.traffic.Tell(now, false)
+		a.traffic.LogIfDue(now, false)
 		a.mu.Unlock()
 		if dialDue {
 			a.checkTarget(ctx)
@@ -343,7 +343,7 @@
 	a.tracker.Stop(now)
 	a.tracker.Tell(now, a.balancers.All(now))
 	a.flush()
-	a.traffic.Tell(now, true)
+	a.traffic.LogIfDue(now, true)
 	left, flows := a.tracker.Gone(), a.tracker.Flows()
 	a.mu.Unlock()
 	a.deps.Log.Info().Str("event", "stop").Bool("left", left).Int("flows", flows).Msg("agent stopped")
--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -246,7 +246,7 @@
 // serveEdge takes callers' packets.
 func (b *Balancer) serveEdge() {
 	unreadable := func(from netip.AddrPort, err error) { b.malformed.Note("edge", from, err) }
-	parcels.Packets(b.edge, b.deps.Codec, unreadable, func(seg *segment.Segment, packet []byte) {
+	parcels.ServePackets(b.edge, b.deps.Codec, unreadable, func(seg *segment.Segment, packet []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.steerer.Arrive(b.deps.Clock.Now(), seg, packet)
@@ -317,7 +317,7 @@
 		b.unsent.Inc(1)
 		return
 	}
-	b.traffic.Sent(p.Verb, b.domain(to) != b.settings.Domain, size)
+	b.traffic.RecordSent(p.Verb, b.domain(to) != b.settings.Domain, size)
 }
 
 // domain returns the failure domain of an agent or a balancer, or nothing if that is not
@@ -366,7 +366,7 @@
 	b.mu.Lock()
 	now = b.deps.Clock.Now()
 	b.leave(now)
-	b.traffic.Tell(now, true)
+	b.traffic.LogIfDue(now, true)
 	b.mu.Unlock()
 	b.cancel()
 	err := errs.Combine(errs.Wrap(b.edge.Close()), b.parcels.Close(), errs.Wrap(b.calls.Close()))
--- a/internal/process/streambalancer/tick.go
+++ b/internal/process/streambalancer/tick.go
@@ -39,7 +39,7 @@
 	b.flush()
 	b.tellNews(now)
 	b.tellSummaries(now)
-	if b.traffic.Tell(now, false) {
+	if b.traffic.LogIfDue(now, false) {
 		b.noteTargets(now)
 	}
 	if b.steerer.Searches() > 0 {
