--- a/cmd/wagtailtray/story.go
+++ b/cmd/wagtailtray/story.go
@@ -28,11 +28,11 @@
 		}
 		all = append(all, lines...)
 	}
-	story := decisions.Story(all, c.Flow)
+	story := decisions.Timeline(all, c.Flow)
 	if len(story) == 0 {
 		return fmt.Errorf("%w: %s in %d lines", errNoStory, c.Flow, len(all))
 	}
-	return decisions.WriteStory(os.Stdout, story)
+	return decisions.WriteTimeline(os.Stdout, story)
 }
 
 func readLog(path string) ([]decisions.Line, error) {
--- a/internal/process/decisions/decisions.go
+++ b/internal/process/decisions/decisions.go
@@ -1,13 +1,13 @@
-// Package decisions logs and counts what processes decide about flows, in one
-// form for all of them.
+// Package decisions logs and counts the decisions of all processes about flows,
+// in one format.
 //
 // # The model
 //
 // Each decision is one line: its kind as "event", the flow, the target, the age
-// of the input that decided it, and the version in force. The volume is bounded:
-// what is over the budget is counted, and the next line tells how many were left
-// out. Writing never blocks: a reader of standard output that is slow costs
-// lines, and no packet waits for it.
+// of the input that it is based on, and the version in force. Lines are rate
+// limited: all decisions are counted, and a line tells how many were omitted
+// before it. Writing never blocks: if the reader of standard output is slow,
+// lines are lost, but no packet is delayed.
 //
 // # Usage
 //
@@ -30,35 +30,37 @@
 )
 
 const (
-	// linesPerSecond and burst bound the lines about flows: at some 20 us a line, 0.2 %
-	// of a core and 3 % of the smallest share that a balancer gets.
-	linesPerSecond = 100
-	burst          = 400
-	// kept is how many lines wait for a slow reader, and closeWait how long a process
-	// that ends waits until it has read them.
-	kept      = 1000
-	closeWait = 500 * time.Millisecond
+	// maxLinesPerSecond and maxLineBurst limit the lines about flows: at some 20 us a
+	// line, 0.2 % of a core and 3 % of the smallest CPU share of a balancer.
+	maxLinesPerSecond = 100
+	maxLineBurst      = 400
+	// maxBufferedLines is how many lines are buffered for a slow reader, and closeTimeout
+	// how long a stopping process waits until the buffer is written.
+	maxBufferedLines = 1000
+	closeTimeout     = 500 * time.Millisecond
 )
 
 // Buckets are the bounds of latency histograms: from a hop inside a failure domain
-// to the longest patience of callers.
+// to the longest timeout of callers.
 var Buckets = tally.DurationBuckets{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2 * time.Second, 5 * time.Second,
 }
 
-// timed are the decisions whose age is a latency: how long the flow waited for it.
-var timed = []stream.Kind{stream.Took, stream.Accepted, stream.Found, stream.GaveUp}
+// latencyKinds are the decisions whose age is a latency: how long the flow waited for
+// the decision.
+var latencyKinds = []stream.Kind{stream.Took, stream.Accepted, stream.Found, stream.GaveUp}
 
-// Writer returns a writer that never blocks, and a function that writes what
-// still waits, within a bounded time: a process that stops must not be there for as long
-// as nobody reads. Lines that find no room are lost and counted in a line.
+// Writer returns a writer that never blocks, and a function that writes the buffered
+// lines. That function returns after closeTimeout even if nobody reads, so that a
+// process can stop. Lines that do not fit the buffer are lost, and a log line tells how
+// many.
 func Writer(w io.Writer) (io.Writer, func()) {
-	out := diode.NewWriter(w, kept, 0, func(missed int) {
-		// The diode calls this from its own goroutine, after it has made room.
+	out := diode.NewWriter(w, maxBufferedLines, 0, func(missed int) {
+		// The diode calls this from its own goroutine, after it has freed buffer space.
 		l := zerolog.New(w)
-		l.Warn().Str("event", "loglost").Int("lines", missed).Msg("the reader of the log is too slow")
+		l.Warn().Str("event", "loglost").Int("lines", missed).Msg("log lines were lost: the reader is too slow")
 	})
 	return out, func() {
 		written := make(chan struct{})
@@ -68,40 +70,40 @@
 		}()
 		select {
 		case <-written:
-		case <-time.After(closeWait):
+		case <-time.After(closeTimeout):
 		}
 	}
 }
 
 // Recorder logs and counts decisions.
 type Recorder struct {
-	log     zerolog.Logger
-	scope   tally.Scope
-	limit   *rate.Limiter
-	left    int
-	counter map[stream.Kind]tally.Counter
-	latency map[stream.Kind]tally.Histogram
+	log       zerolog.Logger
+	scope     tally.Scope
+	limiter   *rate.Limiter
+	omitted   int
+	counters  map[stream.Kind]tally.Counter
+	latencies map[stream.Kind]tally.Histogram
 }
 
-// NewRecorder returns a recorder. It is used under the lock of the decisions
-// that it records.
+// NewRecorder returns a Recorder. Its methods must be called under the lock of the
+// component whose decisions it records.
 func NewRecorder(log zerolog.Logger, scope tally.Scope) *Recorder {
 	r := &Recorder{
-		log: log, scope: scope, limit: rate.NewLimiter(linesPerSecond, burst),
-		counter: map[stream.Kind]tally.Counter{}, latency: map[stream.Kind]tally.Histogram{},
+		log: log, scope: scope, limiter: rate.NewLimiter(maxLinesPerSecond, maxLineBurst),
+		counters: map[stream.Kind]tally.Counter{}, latencies: map[stream.Kind]tally.Histogram{},
 	}
-	for _, k := range timed {
-		r.latency[k] = scope.Histogram("latency_"+string(k), Buckets)
+	for _, k := range latencyKinds {
+		r.latencies[k] = scope.Histogram("latency_"+string(k), Buckets)
 	}
 	return r
 }
 
-// Record takes the events of one outcome.
+// Record logs and counts the events of one outcome.
 func (r *Recorder) Record(events []stream.Event) {
 	for i := range events {
 		r.count(&events[i])
-		if !r.limit.AllowN(time.Now(), 1) {
-			r.left++
+		if !r.limiter.AllowN(time.Now(), 1) {
+			r.omitted++
 			continue
 		}
 		r.write(&events[i])
@@ -109,13 +111,13 @@
 }
 
 func (r *Recorder) count(e *stream.Event) {
-	c, ok := r.counter[e.Kind]
+	c, ok := r.counters[e.Kind]
 	if !ok {
 		c = r.scope.Counter("decisions_" + string(e.Kind))
-		r.counter[e.Kind] = c
+		r.counters[e.Kind] = c
 	}
 	c.Inc(1)
-	if h, ok := r.latency[e.Kind]; ok {
+	if h, ok := r.latencies[e.Kind]; ok {
 		h.RecordDuration(e.Age.Duration())
 	}
 }
@@ -138,9 +140,9 @@
 	if e.Version != 0 {
 		line = line.Uint64("version", e.Version)
 	}
-	if r.left > 0 {
-		line = line.Int("left", r.left)
-		r.left = 0
+	if r.omitted > 0 {
+		line = line.Int("left", r.omitted)
+		r.omitted = 0
 	}
 	line.Int64("age", int64(e.Age)).Int("count", e.Count).Send()
 }
--- a/internal/process/decisions/malformed.go
+++ b/internal/process/decisions/malformed.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// malformedPerSecond and malformedBurst bound the lines about datagrams that
-	// cannot be read: a sender of garbage must not drown the decisions.
-	malformedPerSecond = 1
-	malformedBurst     = 5
+	// maxMalformedLinesPerSecond and maxMalformedLineBurst limit the lines about malformed
+	// datagrams, so that a sender of garbage does not flood the log of decisions.
+	maxMalformedLinesPerSecond = 1
+	maxMalformedLineBurst      = 5
 )
 
-// Malformed logs and counts datagrams that cannot be read. All are counted; some
-// have a line, which tells how many had none before it. It is safe for concurrent
-// use.
-type Malformed struct {
+// MalformedRecorder logs and counts malformed datagrams. All are counted; the log lines
+// are rate limited, and each tells how many were omitted before it. It is safe for
+// concurrent use.
+type MalformedRecorder struct {
 	log     zerolog.Logger
 	counter tally.Counter
-	limit   *rate.Limiter
-	left    atomic.Int64
+	limiter *rate.Limiter
+	omitted atomic.Int64
 }
 
-// NewMalformed returns one that has seen nothing.
-func NewMalformed(log zerolog.Logger, scope tally.Scope) *Malformed {
-	return &Malformed{
-		log: log, counter: scope.Counter("malformed"), limit: rate.NewLimiter(malformedPerSecond, malformedBurst),
+// NewMalformedRecorder returns a MalformedRecorder with a count of zero.
+func NewMalformedRecorder(log zerolog.Logger, scope tally.Scope) *MalformedRecorder {
+	return &MalformedRecorder{
+		log: log, counter: scope.Counter("malformed"), limiter: rate.NewLimiter(maxMalformedLinesPerSecond, maxMalformedLineBurst),
 	}
 }
 
-// Note takes one datagram that arrived on a socket, which the caller names.
-func (m *Malformed) Note(socket string, from netip.AddrPort, err error) {
+// Record records one malformed datagram. socket names the socket that received it.
+func (m *MalformedRecorder) Record(socket string, from netip.AddrPort, err error) {
 	m.counter.Inc(1)
-	if !m.limit.Allow() {
-		m.left.Add(1)
+	if !m.limiter.Allow() {
+		m.omitted.Add(1)
 		return
 	}
 	m.log.Warn().Str("event", "malformed").Str("socket", socket).Stringer("from", from).
-		Int64("left", m.left.Swap(0)).Err(err).Msg("a datagram cannot be read")
+		Int64("left", m.omitted.Swap(0)).Err(err).Msg("received a malformed datagram")
 }
--- a/internal/process/streamagent/agent.go
+++ b/internal/process/streamagent/agent.go
@@ -120,7 +120,7 @@
 	// restoreWake wakes runRestore before its retry delay is over.
 	restoreWake chan struct{}
 
-	malformed  *decisions.Malformed
+	malformed  *decisions.MalformedRecorder
 	unsent     tally.Counter
 	traffic    *parcels.Traffic
 	latencies  tally.Histogram
@@ -135,7 +135,7 @@
 		settings: settings, deps: deps, balancers: NewBalancers(now, settings.Domain), startedAt: now,
 		restoreWake: make(chan struct{}, 1),
 		recorder:    decisions.NewRecorder(deps.Log, deps.Scope),
-		malformed:   decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
+		malformed:   decisions.NewMalformedRecorder(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
 		traffic:   parcels.NewTraffic(deps.Log, deps.Scope),
 		latencies: deps.Scope.Histogram("served", decisions.Buckets),
 	}
@@ -176,7 +176,7 @@
 
 // noteMalformed logs and counts a datagram that is not a valid parcel.
 func (a *Agent) noteMalformed(from netip.AddrPort, err error) {
-	a.malformed.Note("parcels", from, err)
+	a.malformed.Record("parcels", from, err)
 }
 
 // handleParcel processes a parcel from a balancer.
@@ -210,7 +210,7 @@
 
 // serveTarget processes the packets that the target sends.
 func (a *Agent) serveTarget() {
-	noteMalformed := func(from netip.AddrPort, err error) { a.malformed.Note("outbound", from, err) }
+	noteMalformed := func(from netip.AddrPort, err error) { a.malformed.Record("outbound", from, err) }
 	parcels.ServePackets(a.outbound, a.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -263,7 +263,7 @@
 func (a *Agent) writeToCaller(packet []byte) {
 	seg, err := a.deps.Codec.Decode(packet)
 	if err != nil {
-		a.malformed.Note("outbound", a.settings.Target, err)
+		a.malformed.Record("outbound", a.settings.Target, err)
 		return
 	}
 	a.write(packet, a.callerAddress(seg.Destination.Addr()))
--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -151,7 +151,7 @@
 	// keeping tells that this balancer writes them; only keeps uses it.
 	keeping bool
 
-	malformed *decisions.Malformed
+	malformed *decisions.MalformedRecorder
 	unsent    tally.Counter
 	traffic   *parcels.Traffic
 	forwarded tally.Counter
@@ -209,7 +209,7 @@
 			Seed:      xxh3.HashString(settings.Name), Flows: mostFlows, FlowLife: settings.FlowLife,
 		}),
 		record:    decisions.NewRecorder(deps.Log, deps.Scope),
-		malformed: decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
+		malformed: decisions.NewMalformedRecorder(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
 		traffic:   parcels.NewTraffic(deps.Log, deps.Scope),
 		forwarded: deps.Scope.Counter("packets"), refused: deps.Scope.Counter("handon_refused"),
 		updated: make(chan struct{}, 1),
@@ -245,7 +245,7 @@
 
 // serveEdge takes callers' packets.
 func (b *Balancer) serveEdge() {
-	unreadable := func(from netip.AddrPort, err error) { b.malformed.Note("edge", from, err) }
+	unreadable := func(from netip.AddrPort, err error) { b.malformed.Record("edge", from, err) }
 	parcels.ServePackets(b.edge, b.deps.Codec, unreadable, func(seg *segment.Segment, packet []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -256,7 +256,7 @@
 
 // unreadable notes a datagram that is no parcel.
 func (b *Balancer) unreadable(from netip.AddrPort, err error) {
-	b.malformed.Note("parcels", from, err)
+	b.malformed.Record("parcels", from, err)
 }
 
 // hear takes a parcel of an agent or a balancer.
--- a/internal/process/streambalancer/keep.go
+++ b/internal/process/streambalancer/keep.go
@@ -166,6 +166,6 @@
 		return
 	}
 	if err := b.keeper.Hear(b.deps.Clock.Now(), time.Now().UnixMilli(), from, c); err != nil {
-		b.malformed.Note("parcels", from, err)
+		b.malformed.Record("parcels", from, err)
 	}
 }
--- a/internal/process/streambalancer/news.go
+++ b/internal/process/streambalancer/news.go
@@ -225,7 +225,7 @@
 	for _, c := range contacts {
 		a, err := segment.ParseAddress(c.Address)
 		if err != nil {
-			b.malformed.Note("parcels", from, err)
+			b.malformed.Record("parcels", from, err)
 			continue
 		}
 		if c.Service == "" {
