--- a/internal/process/status/status.go
+++ b/internal/process/status/status.go
@@ -1,12 +1,12 @@
-// Package status sums up what the balancers of a deployment report, for
-// operators.
+// Package status summarizes the state that the balancers of a deployment report,
+// for operators.
 //
 // # Usage
 //
 //	s, err := status.Collect(ctx, client, peers)
 //
-// Collect asks the first peer that answers for all balancers, then each of
-// them for itself and the targets that announce themselves there.
+// Collect gets the list of balancers from the first peer that answers, then asks
+// each of them for its own state and the targets that announce themselves to it.
 package status
 
 import (
@@ -24,35 +24,35 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// ErrSilent means that no balancer answered.
-var ErrSilent = errs.New("status: none of the balancers answers")
+// ErrNoAnswer is returned if no balancer answered.
+var ErrNoAnswer = errs.New("status: no balancer answered")
 
 const (
-	// together is how many balancers are asked at a time.
-	together = 32
-	limit    = 2 * time.Second
+	// maxConcurrentCalls bounds the balancers that are asked at the same time.
+	maxConcurrentCalls = 32
+	callTimeout        = 2 * time.Second
 )
 
-// Domain is one failure domain's part.
+// Domain is the status of one failure domain.
 type Domain struct {
 	Name               string `json:"name"`
 	OldestVersion      uint64 `json:"oldestversion"`
 	NewestVersion      uint64 `json:"newestversion"`
 	Balancers          int    `json:"balancers"`
 	SuspectedBalancers int    `json:"suspectedbalancers"`
-	// Silent balancers are not suspected and did not answer this call.
+	// Silent is the number of balancers that are not suspected and did not answer.
 	Silent           int    `json:"silent"`
 	Targets          int    `json:"targets"`
 	Draining         int    `json:"draining"`
 	SuspectedTargets int    `json:"suspectedtargets"`
 	Flows            uint64 `json:"flows"`
-	// Imbalance is the most loaded target over the mean, of those that take
-	// flows; 0 without flows.
+	// Imbalance is the number of flows of the most loaded target divided by the
+	// mean, over the targets that accept flows; 0 without flows.
 	Imbalance float64 `json:"imbalance"`
 }
 
-// Service is one service's part. Imbalance is the most loaded target over the
-// mean of those that take flows; 0 without flows.
+// Service is the status of one service. Imbalance is the same as for a domain,
+// over the targets of the service.
 type Service struct {
 	Name      string  `json:"name"`
 	Targets   int     `json:"targets"`
@@ -60,7 +60,7 @@
 	Imbalance float64 `json:"imbalance"`
 }
 
-// Status is the whole.
+// Status is the status of a deployment.
 type Status struct {
 	Version  uint64    `json:"version"`
 	Domains  []Domain  `json:"domains"`
@@ -68,23 +68,23 @@
 	Suspects []string  `json:"suspects"`
 }
 
-// Collect asks and sums up.
+// Collect asks the balancers and summarizes their answers.
 func Collect(ctx context.Context, client *control.Client, peers []netip.AddrPort) (*Status, error) {
-	first, err := firstAnswer(ctx, client, peers)
+	first, err := firstStatus(ctx, client, peers)
 	if err != nil {
 		return nil, err
 	}
-	members, err := records(first.Members)
+	members, err := membersFromWire(first.Members)
 	if err != nil {
 		return nil, err
 	}
-	return Sum(members, ask(ctx, client, members)), nil
+	return Summarize(members, fetchAll(ctx, client, members)), nil
 }
 
-func firstAnswer(ctx context.Context, client *control.Client, peers []netip.AddrPort) (*wire.Status, error) {
-	failures := []error{ErrSilent}
+func firstStatus(ctx context.Context, client *control.Client, peers []netip.AddrPort) (*wire.Status, error) {
+	failures := []error{ErrNoAnswer}
 	for _, p := range peers {
-		s, err := call(ctx, client, p)
+		s, err := fetchStatus(ctx, client, p)
 		if err == nil {
 			return s, nil
 		}
@@ -93,8 +93,8 @@
 	return nil, errs.Combine(failures...)
 }
 
-func call(ctx context.Context, client *control.Client, p netip.AddrPort) (*wire.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func fetchStatus(ctx context.Context, client *control.Client, p netip.AddrPort) (*wire.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var s wire.Status
 	if err := client.Call(ctx, p, control.Status, &wire.Empty{}, &s); err != nil {
@@ -103,7 +103,7 @@
 	return &s, nil
 }
 
-func records(all []*wire.Member) ([]member.Member, error) {
+func membersFromWire(all []*wire.Member) ([]member.Member, error) {
 	var out []member.Member
 	for _, w := range all {
 		m, err := member.FromWire(w)
@@ -115,17 +115,17 @@
 	return out, nil
 }
 
-// ask returns the answers of the balancers; a silent one's is missing.
-func ask(ctx context.Context, client *control.Client, members []member.Member) []*wire.Status {
+// fetchAll returns the answers of the live balancers that answered.
+func fetchAll(ctx context.Context, client *control.Client, members []member.Member) []*wire.Status {
 	answers := make([]*wire.Status, len(members))
 	var group errgroup.Group
-	group.SetLimit(together)
+	group.SetLimit(maxConcurrentCalls)
 	for i, m := range members {
 		if m.Kind != member.Balancer || !m.Live() {
 			continue
 		}
 		group.Go(func() error {
-			answers[i], _ = call(ctx, client, m.Control)
+			answers[i], _ = fetchStatus(ctx, client, m.Control)
 			return nil
 		})
 	}
@@ -133,9 +133,9 @@
 	return slices.DeleteFunc(answers, func(s *wire.Status) bool { return s == nil })
 }
 
-// Sum sums up the answers of balancers.
-func Sum(members []member.Member, answers []*wire.Status) *Status {
-	s := &summary{domains: map[string]*Domain{}, loads: map[string]*load{}, flows: map[member.Key]uint64{}, versions: map[string]uint64{}}
+// Summarize summarizes the answers of balancers.
+func Summarize(members []member.Member, answers []*wire.Status) *Status {
+	s := &summarizer{domains: map[string]*Domain{}, domainLoads: map[string]*flowLoad{}, flows: map[member.Key]uint64{}, versions: map[string]uint64{}}
 	for _, a := range answers {
 		s.versions[a.Self.Name] = a.Version
 		for _, t := range a.Targets {
@@ -146,19 +146,19 @@
 	for i := range members {
 		s.add(&members[i])
 	}
-	return s.status(members)
+	return s.build(members)
 }
 
-type summary struct {
-	domains  map[string]*Domain
-	loads    map[string]*load
-	flows    map[member.Key]uint64
-	versions map[string]uint64
-	suspects []string
-	version  uint64
+type summarizer struct {
+	domains     map[string]*Domain
+	domainLoads map[string]*flowLoad
+	flows       map[member.Key]uint64
+	versions    map[string]uint64
+	suspects    []string
+	version     uint64
 }
 
-func (s *summary) add(m *member.Member) {
+func (s *summarizer) add(m *member.Member) {
 	if m.State == member.Left {
 		return
 	}
@@ -171,13 +171,13 @@
 		s.suspects = append(s.suspects, string(m.Kind)+" "+m.Service+"/"+m.Name+" in "+m.Domain)
 	}
 	if m.Kind == member.Balancer {
-		s.balancer(d, m)
+		s.addBalancer(d, m)
 		return
 	}
 	d.Targets++
 	d.Flows += s.flows[m.Key]
 	if m.State == member.Alive && !m.Suspected {
-		s.load(m.Domain).add(s.flows[m.Key])
+		s.domainLoad(m.Domain).add(s.flows[m.Key])
 	}
 	if m.State == member.Draining {
 		d.Draining++
@@ -187,7 +187,7 @@
 	}
 }
 
-func (s *summary) balancer(d *Domain, m *member.Member) {
+func (s *summarizer) addBalancer(d *Domain, m *member.Member) {
 	d.Balancers++
 	if m.Suspected {
 		d.SuspectedBalancers++
@@ -205,49 +205,49 @@
 	}
 }
 
-func (s *summary) status(members []member.Member) *Status {
+func (s *summarizer) build(members []member.Member) *Status {
 	out := &Status{Version: s.version, Suspects: append([]string{}, s.suspects...)}
 	for name, d := range s.domains {
-		d.Imbalance = s.load(name).imbalance()
+		d.Imbalance = s.domainLoad(name).imbalance()
 		out.Domains = append(out.Domains, *d)
 	}
 	slices.SortFunc(out.Domains, func(a, b Domain) int { return cmp.Compare(a.Name, b.Name) })
-	out.Services = s.services(members)
+	out.Services = s.buildServices(members)
 	return out
 }
 
-// load adds up the flows of some targets.
-type load struct {
-	targets, flows, most uint64
+// flowLoad sums the flows of a set of targets.
+type flowLoad struct {
+	targets, flows, maxFlows uint64
 }
 
-func (s *summary) load(name string) *load {
-	l := s.loads[name]
+func (s *summarizer) domainLoad(name string) *flowLoad {
+	l := s.domainLoads[name]
 	if l == nil {
-		l = &load{}
-		s.loads[name] = l
+		l = &flowLoad{}
+		s.domainLoads[name] = l
 	}
 	return l
 }
 
-func (l *load) add(flows uint64) {
+func (l *flowLoad) add(flows uint64) {
 	l.targets++
 	l.flows += flows
-	l.most = max(l.most, flows)
+	l.maxFlows = max(l.maxFlows, flows)
 }
 
-func (l *load) imbalance() float64 {
+func (l *flowLoad) imbalance() float64 {
 	if l.flows == 0 {
 		return 0
 	}
-	return float64(l.most) * float64(l.targets) / float64(l.flows)
+	return float64(l.maxFlows) * float64(l.targets) / float64(l.flows)
 }
 
-// services sums up by service. Targets that drain have flows and count; the
-// imbalance is of those that take new ones.
-func (s *summary) services(members []member.Member) []Service {
+// buildServices summarizes by service. Draining targets count with their flows, but the
+// imbalance covers only targets that accept new ones.
+func (s *summarizer) buildServices(members []member.Member) []Service {
 	byName := map[string]*Service{}
-	taking := map[string]*load{}
+	accepting := map[string]*flowLoad{}
 	for i := range members {
 		m := &members[i]
 		if m.Kind != member.Target || m.State == member.Left || m.Suspected {
@@ -256,17 +256,17 @@
 		v := byName[m.Service]
 		if v == nil {
 			v = &Service{Name: m.Service}
-			byName[m.Service], taking[m.Service] = v, &load{}
+			byName[m.Service], accepting[m.Service] = v, &flowLoad{}
 		}
 		v.Targets++
 		v.Flows += s.flows[m.Key]
 		if m.State == member.Alive {
-			taking[m.Service].add(s.flows[m.Key])
+			accepting[m.Service].add(s.flows[m.Key])
 		}
 	}
 	all := make([]Service, 0, len(byName))
 	for name, v := range byName {
-		v.Imbalance = taking[name].imbalance()
+		v.Imbalance = accepting[name].imbalance()
 		all = append(all, *v)
 	}
 	slices.SortFunc(all, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/process/status/status_test.go
+++ b/internal/process/status/status_test.go
@@ -8,10 +8,10 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// One balancer of three is behind, one does not answer; a target drains with
-// flows. The operator sees all of that, and the drained target does not count
-// as imbalance.
-func TestSum(t *testing.T) {
+// One balancer of three has an older version, one does not answer, and a target drains
+// with flows. The status must show all of that, and the imbalance must not include the
+// draining target.
+func TestSummarize(t *testing.T) {
 	var members []member.Member
 	for _, name := range []string{"b1", "b2", "b3"} {
 		members = append(members, member.Member{Key: member.Key{Kind: member.Balancer, Name: name}, Domain: "a", State: member.Alive})
@@ -24,7 +24,7 @@
 		members = append(members, m)
 		targets = append(targets, &wire.Reported{Member: m.Wire(), Flows: flows[name]})
 	}
-	s := status.Sum(members, []*wire.Status{
+	s := status.Summarize(members, []*wire.Status{
 		{Self: members[0].Wire(), Version: 7, Targets: targets},
 		{Self: members[1].Wire(), Version: 6, Targets: targets[:1]},
 	})
