--- a/internal/process/status/status.go
+++ b/internal/process/status/status.go
@@ -51,8 +51,8 @@
 	Imbalance float64 `json:"imbalance"`
 }
 
-// Service is the status of one service. Imbalance is the same as for a domain,
-// over the targets of the service.
+// Service is the status of one service. Imbalance is as for a Domain, over the
+// targets of the service; 0 without flows.
 type Service struct {
 	Name      string  `json:"name"`
 	Targets   int     `json:"targets"`
