--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -150,7 +150,7 @@
 	// isKeeper reports whether this balancer writes them; only runKeeper uses it.
 	isKeeper bool
 
-	malformed *decisions.Malformed
+	malformed *decisions.MalformedRecorder
 	unsent    tally.Counter
 	traffic   *parcels.Traffic
 	forwarded tally.Counter
@@ -208,7 +208,7 @@
 			Seed:             xxh3.HashString(settings.Name), MaxFlows: maxFlows, FlowTTL: settings.FlowTTL,
 		}),
 		recorder:  decisions.NewRecorder(deps.Log, deps.Scope),
-		malformed: decisions.NewMalformed(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
+		malformed: decisions.NewMalformedRecorder(deps.Log, deps.Scope), unsent: deps.Scope.Counter("unsent"),
 		traffic:   parcels.NewTraffic(deps.Log, deps.Scope),
 		forwarded: deps.Scope.Counter("packets"), refusedQuestions: deps.Scope.Counter("handon_refused"),
 		configWake: make(chan struct{}, 1),
@@ -244,8 +244,8 @@
 
 // serveEdge handles callers' packets.
 func (b *Balancer) serveEdge() {
-	noteMalformed := func(from netip.AddrPort, err error) { b.malformed.Note("edge", from, err) }
-	parcels.Packets(b.edge, b.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
+	noteMalformed := func(from netip.AddrPort, err error) { b.malformed.Record("edge", from, err) }
+	parcels.ServePackets(b.edge, b.deps.Codec, noteMalformed, func(seg *segment.Segment, packet []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.steerer.HandlePacket(b.deps.Clock.Now(), seg, packet)
@@ -255,7 +255,7 @@
 
 // noteMalformed records a datagram that is not a valid parcel.
 func (b *Balancer) noteMalformed(from netip.AddrPort, err error) {
-	b.malformed.Note("parcels", from, err)
+	b.malformed.Record("parcels", from, err)
 }
 
 // handleParcel handles a parcel from an agent or a balancer.
@@ -316,7 +316,7 @@
 		b.unsent.Inc(1)
 		return
 	}
-	b.traffic.Sent(p.Verb, b.domainOf(to) != b.settings.Domain, size)
+	b.traffic.RecordSent(p.Verb, b.domainOf(to) != b.settings.Domain, size)
 }
 
 // domainOf returns the failure domain of an agent or a balancer, or "" if it is unknown.
@@ -364,7 +364,7 @@
 	b.mu.Lock()
 	now = b.deps.Clock.Now()
 	b.sendLeave(now)
-	b.traffic.Tell(now, true)
+	b.traffic.LogIfDue(now, true)
 	b.mu.Unlock()
 	b.cancel()
 	err := errs.Combine(errs.Wrap(b.edge.Close()), b.parcels.Close(), errs.Wrap(b.tableListener.Close()))
--- a/internal/process/streambalancer/sim_test.go
+++ b/internal/process/streambalancer/sim_test.go
@@ -180,9 +180,9 @@
 	if to.reportBalancers == nil {
 		return
 	}
-	to.reportBalancers.Heard(now, from)
+	to.reportBalancers.RecordHeard(now, from)
 	if p.Verb == wire.Verb_VERB_PROBE {
-		to.reportBalancers.Probed(now, from, p.Report.Domain)
+		to.reportBalancers.RecordProbe(now, from, p.Report.Domain)
 	}
 	to.holder.HandleParcel(now, from, p, nil)
 	f.flush(to)
@@ -334,7 +334,7 @@
 	var step func()
 	step = func() {
 		now := f.syncClock(s)
-		s.holder.SendReport(now, s.reportBalancers.Due(now, s.holder.Loaded()))
+		s.holder.SendReport(now, s.reportBalancers.DueForReport(now, s.holder.Loaded()))
 		s.holder.Tick(now)
 		f.flush(s)
 		f.schedule(50_000, step)
--- a/internal/process/streambalancer/tick.go
+++ b/internal/process/streambalancer/tick.go
@@ -39,7 +39,7 @@
 	b.flush()
 	b.sendDueNews(now)
 	b.sendDueSummaries(now)
-	if b.traffic.Tell(now, false) {
+	if b.traffic.LogIfDue(now, false) {
 		b.reportTargets(now)
 	}
 	if b.steerer.Searches() > 0 {
