--- a/cmd/wagtailtray/answers.go
+++ b/cmd/wagtailtray/answers.go
@@ -9,16 +9,15 @@
 )
 
 type answersCommand struct {
-	New   newAnswersCommand   `cmd:"" help:"Print a filled-in example to start from."`
-	Check checkAnswersCommand `cmd:"" help:"Check a questionnaire and name every mistake."`
+	New   newAnswersCommand   `cmd:"" help:"Print an example questionnaire."`
+	Check checkAnswersCommand `cmd:"" help:"Check a questionnaire and report every error."`
 }
 
 type newAnswersCommand struct {
-	Deployment string `help:"Example: valuvorm or porto." default:"valuvorm" enum:"valuvorm,porto"`
+	Deployment string `help:"Example to print: valuvorm or porto." default:"valuvorm" enum:"valuvorm,porto"`
 	JSON       bool   `name:"json" help:"Print one JSON object."`
 }
 
-// Run prints the example.
 func (c *newAnswersCommand) Run() error {
 	data, err := try.Answers(c.Deployment)
 	if err != nil {
@@ -28,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	return show(c.JSON, a, func() { fmt.Print(string(data)) })
+	return printResult(c.JSON, a, func() { fmt.Print(string(data)) })
 }
 
 type checkAnswersCommand struct {
@@ -36,13 +35,12 @@
 	JSON bool   `name:"json" help:"Print one JSON object."`
 }
 
-// Run checks the file.
 func (c *checkAnswersCommand) Run() error {
 	a, err := readAnswers(c.File)
 	if err != nil {
 		return err
 	}
-	return show(c.JSON, a, func() {
+	return printResult(c.JSON, a, func() {
 		fmt.Printf("%s: good: %d failure domains, %d services\n", a.Deployment, len(a.Domains), len(a.Services))
 	})
 }
--- a/cmd/wagtailtray/approve.go
+++ b/cmd/wagtailtray/approve.go
@@ -11,18 +11,18 @@
 )
 
 type approveCommand struct {
-	store
-	File string `arg:"" help:"Plan file, as plan wrote it."`
+	platformFlags
+	File string `arg:"" help:"File written by the plan command."`
 	JSON bool   `name:"json" help:"Print one JSON object."`
 }
 
-// approved is what approve prints with --json.
-type approved struct {
+// approveOutput is the output of approve with --json.
+type approveOutput struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 }
 
-// Run commits the plan. It may be repeated: the plan takes effect once.
+// Run commits the plan. It is idempotent: repeating it applies the plan once.
 func (c *approveCommand) Run(ctx context.Context) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
@@ -32,11 +32,11 @@
 	if err := json.Unmarshal(data, &p); err != nil {
 		return errs.Combine(approval.ErrPlan, err)
 	}
-	client := c.open()
+	client := c.newClient()
 	defer client.Close()
 	state, err := approval.Commit(ctx, client, &p)
 	if err != nil {
 		return err
 	}
-	return showApproved(c.JSON, &p, state.Root.Find)
+	return printApproved(c.JSON, &p, state.Root.Find)
 }
--- a/cmd/wagtailtray/drain.go
+++ b/cmd/wagtailtray/drain.go
@@ -11,46 +11,46 @@
 	"github.com/wagtailtray/wagtailtray/internal/version/config"
 )
 
-// errService is returned for a target of a service that is not configured.
-var errService = errs.New("no such service in the configuration")
+// errUnknownService is returned for a target of a service that is not configured.
+var errUnknownService = errs.New("no such service in the configuration")
 
 type drainCommand struct {
-	store
+	platformFlags
 	Service string `arg:"" help:"Service of the target."`
 	Target  string `arg:"" help:"Name of the target."`
-	Author  string `help:"Who drains, for the history." env:"USER" default:"operator"`
+	Author  string `help:"Author recorded in the history." env:"USER" default:"operator"`
 	JSON    bool   `name:"json" help:"Print one JSON object."`
 }
 
-// Run lets the target finish its flows.
+// Run starts to drain the target: it finishes its flows and takes no new ones.
 func (c *drainCommand) Run(ctx context.Context) error {
-	return c.word(ctx, true)
+	return c.setDrain(ctx, true)
 }
 
 type undrainCommand struct {
 	drainCommand
 }
 
-// Run takes a drain back.
+// Run cancels the drain of a target.
 func (c *undrainCommand) Run(ctx context.Context) error {
-	return c.word(ctx, false)
+	return c.setDrain(ctx, false)
 }
 
-// word puts the operator's word about a target into the configuration, where
-// it outlives every process.
-func (c *drainCommand) word(ctx context.Context, on bool) error {
-	client := c.open()
+// setDrain starts or cancels the drain of a target. The drain is part of the
+// configuration, so it survives restarts of every process.
+func (c *drainCommand) setDrain(ctx context.Context, on bool) error {
+	client := c.newClient()
 	defer client.Close()
 	base, err := approval.Load(ctx, client)
 	if err != nil {
 		return err
 	}
 	if _, ok := base.Service(c.Service); !ok {
-		return fmt.Errorf("%w: %q", errService, c.Service)
+		return fmt.Errorf("%w: %q", errUnknownService, c.Service)
 	}
 	d := config.Drain{Service: c.Service, Target: c.Target}
 	if base.Draining(c.Service, c.Target) == on {
-		return show(c.JSON, approved{Version: base.Root.Version}, func() {
+		return printResult(c.JSON, approveOutput{Version: base.Root.Version}, func() {
 			fmt.Printf("nothing to change in version %d\n", base.Root.Version)
 		})
 	}
@@ -59,13 +59,13 @@
 	if err != nil {
 		return err
 	}
-	return showApproved(c.JSON, p, state.Root.Find)
+	return printApproved(c.JSON, p, state.Root.Find)
 }
 
-// showApproved prints the version that a plan became.
-func showApproved(asJSON bool, p *approval.Plan, find func(string) (config.Change, bool)) error {
+// printApproved prints the configuration version that the plan created.
+func printApproved(asJSON bool, p *approval.Plan, find func(string) (config.Change, bool)) error {
 	change, _ := find(p.ID)
-	return show(asJSON, approved{ID: p.ID, Version: change.Version}, func() {
+	return printResult(asJSON, approveOutput{ID: p.ID, Version: change.Version}, func() {
 		fmt.Printf("approved: version %d\n", change.Version)
 	})
 }
--- a/cmd/wagtailtray/history.go
+++ b/cmd/wagtailtray/history.go
@@ -8,19 +8,19 @@
 )
 
 type historyCommand struct {
-	store
+	platformFlags
 	JSON bool `name:"json" help:"Print one JSON object."`
 }
 
-// Run lists the changes that the configuration remembers.
+// Run lists the changes in the history of the configuration.
 func (c *historyCommand) Run(ctx context.Context) error {
-	client := c.open()
+	client := c.newClient()
 	defer client.Close()
 	state, err := approval.Load(ctx, client)
 	if err != nil {
 		return err
 	}
-	return show(c.JSON, state.Root.Changes, func() {
+	return printResult(c.JSON, state.Root.Changes, func() {
 		for _, change := range state.Root.Changes {
 			fmt.Printf("version %d  %s  %s\n", change.Version, change.Time, change.Author)
 			for _, line := range change.Summary {
--- a/cmd/wagtailtray/key.go
+++ b/cmd/wagtailtray/key.go
@@ -10,13 +10,13 @@
 	JSON bool `name:"json" help:"Print one JSON object."`
 }
 
-// made is what key prints with --json.
-type made struct {
+// keyOutput is the output of key with --json.
+type keyOutput struct {
 	Key string `json:"key"`
 }
 
-// Run prints a key.
+// Run prints a new random key.
 func (c *keyCommand) Run() error {
-	k := made{Key: key.Generate()}
-	return show(c.JSON, k, func() { fmt.Println(k.Key) })
+	k := keyOutput{Key: key.Generate()}
+	return printResult(c.JSON, k, func() { fmt.Println(k.Key) })
 }
--- a/cmd/wagtailtray/main.go
+++ b/cmd/wagtailtray/main.go
@@ -30,30 +30,30 @@
 
 // Exit codes. They are documented in docs/operate/commands.md.
 const (
-	exitOK          = 0
-	exitFailed      = 1
-	exitUsage       = 2
-	exitAnswers     = 3
-	exitStale       = 4
-	exitOpen        = 5
-	exitUnavailable = 6
-	exitBroken      = 7
+	exitOK             = 0
+	exitFailed         = 1
+	exitUsage          = 2
+	exitAnswers        = 3
+	exitStale          = 4
+	exitOutcomeUnknown = 5
+	exitUnavailable    = 6
+	exitViolation      = 7
 )
 
-// errBroken means that a trial saw a broken promise.
-var errBroken = errs.New("a promise was broken")
+// errViolation is returned by a trial in which a guarantee did not hold.
+var errViolation = errs.New("a guarantee was violated")
 
 type cli struct {
 	Answers answersCommand `cmd:"" help:"Write or check a questionnaire."`
 	Plan    planCommand    `cmd:"" help:"Generate the configuration and show what would change."`
-	Approve approveCommand `cmd:"" help:"Bring a plan into force."`
-	Status  statusCommand  `cmd:"" help:"Show what is in force and how it goes, by failure domain."`
+	Approve approveCommand `cmd:"" help:"Apply a plan."`
+	Status  statusCommand  `cmd:"" help:"Show the version in force and the state of each failure domain."`
 	Drain   drainCommand   `cmd:"" help:"Let a target finish its flows and take no new ones."`
 	Undrain undrainCommand `cmd:"" help:"Let a target take new flows again."`
 	History historyCommand `cmd:"" help:"List the approved changes."`
 	Key     keyCommand     `cmd:"" help:"Print a new deployment key."`
-	Story   storyCommand   `cmd:"" help:"Tell from logs what was decided about one flow."`
-	Try     tryCommand     `cmd:"" help:"Run a whole deployment on loopback and watch it change."`
+	Story   storyCommand   `cmd:"" help:"Show what the logs record about one flow."`
+	Try     tryCommand     `cmd:"" help:"Run a whole deployment on loopback and change it under load."`
 }
 
 func main() {
@@ -76,11 +76,11 @@
 		fmt.Fprintf(os.Stderr, "wagtailtray: %v\n", err)
 		return exitUsage
 	}
-	return report(parsed.Run())
+	return reportError(parsed.Run())
 }
 
-// report shows an error, once, and gives its exit code.
-func report(err error) int {
+// reportError prints err and returns its exit code.
+func reportError(err error) int {
 	if err == nil {
 		return exitOK
 	}
@@ -91,10 +91,10 @@
 	}{
 		{answers.ErrAnswers, exitAnswers},
 		{approval.ErrStale, exitStale},
-		{approval.ErrOpen, exitOpen},
-		{platform.ErrUnknown, exitOpen},
+		{approval.ErrOpen, exitOutcomeUnknown},
+		{platform.ErrUnknown, exitOutcomeUnknown},
 		{platform.ErrUnavailable, exitUnavailable},
-		{errBroken, exitBroken},
+		{errViolation, exitViolation},
 	}
 	for _, c := range codes {
 		if errors.Is(err, c.err) {
--- a/cmd/wagtailtray/plan.go
+++ b/cmd/wagtailtray/plan.go
@@ -12,25 +12,25 @@
 	"github.com/wagtailtray/wagtailtray/pkg/platform"
 )
 
-// store is the flags of the commands that speak to the platform.
-type store struct {
+// platformFlags holds the flags of the commands that connect to the platform.
+type platformFlags struct {
 	Platform string `help:"Address of the platform's object service." required:"" env:"WAGTAILTRAY_PLATFORM" placeholder:"IP:PORT"`
 }
 
-func (s *store) open() *platform.Client {
+func (s *platformFlags) newClient() *platform.Client {
 	return platform.NewClient(s.Platform)
 }
 
 type planCommand struct {
-	store
+	platformFlags
 	File   string `arg:"" help:"Answers file."`
-	Out    string `help:"Where the plan is written." default:"plan.json"`
-	Author string `help:"Who plans, for the history." env:"USER" default:"operator"`
+	Out    string `help:"File to write the plan to." default:"plan.json"`
+	Author string `help:"Author recorded in the history." env:"USER" default:"operator"`
 	JSON   bool   `name:"json" help:"Print one JSON object."`
 }
 
-// planned is what plan prints with --json.
-type planned struct {
+// planOutput is the output of plan with --json.
+type planOutput struct {
 	ID      string          `json:"id"`
 	Base    uint64          `json:"base"`
 	Version uint64          `json:"version"`
@@ -38,13 +38,13 @@
 	Reasons []config.Reason `json:"reasons"`
 }
 
-// Run makes a plan, shows it and writes it.
+// Run creates a plan, prints it and writes it to a file.
 func (c *planCommand) Run(ctx context.Context) error {
 	a, err := readAnswers(c.File)
 	if err != nil {
 		return err
 	}
-	client := c.open()
+	client := c.newClient()
 	defer client.Close()
 	base, err := approval.Load(ctx, client)
 	if err != nil {
@@ -53,7 +53,7 @@
 	g := config.Generate(a, base)
 	changes := config.Compare(base, &g.State)
 	if len(changes) == 0 {
-		return show(c.JSON, planned{Base: base.Root.Version, Version: base.Root.Version, Changes: []string{}}, func() {
+		return printResult(c.JSON, planOutput{Base: base.Root.Version, Version: base.Root.Version, Changes: []string{}}, func() {
 			fmt.Printf("nothing to change: version %d is what the answers give\n", base.Root.Version)
 		})
 	}
@@ -61,11 +61,11 @@
 	if err := writePlan(c.Out, p); err != nil {
 		return err
 	}
-	out := planned{ID: p.ID, Base: p.Base, Version: p.To.Root.Version, Changes: changes, Reasons: g.Reasons}
-	return show(c.JSON, out, func() { printPlan(&out, c.Out) })
+	out := planOutput{ID: p.ID, Base: p.Base, Version: p.To.Root.Version, Changes: changes, Reasons: g.Reasons}
+	return printResult(c.JSON, out, func() { printPlan(&out, c.Out) })
 }
 
-func printPlan(p *planned, file string) {
+func printPlan(p *planOutput, file string) {
 	fmt.Printf("version %d -> %d\n", p.Base, p.Version)
 	for _, line := range p.Changes {
 		fmt.Println("  " + line)
@@ -77,7 +77,7 @@
 	fmt.Printf("written to %s; approve it to bring it into force\n", file)
 }
 
-// planMode keeps a plan readable to its operator alone.
+// planMode makes the plan readable only by its owner.
 const planMode = 0o600
 
 func writePlan(file string, p *approval.Plan) error {
@@ -88,8 +88,8 @@
 	return os.WriteFile(file, append(data, '\n'), planMode)
 }
 
-// show prints a value as JSON or as text.
-func show(asJSON bool, v any, text func()) error {
+// printResult prints v as JSON, or calls text to print it for people.
+func printResult(asJSON bool, v any, text func()) error {
 	if !asJSON {
 		text()
 		return nil
--- a/cmd/wagtailtray/script_test.go
+++ b/cmd/wagtailtray/script_test.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// Each script has a platform of its own, whose address is in its environment.
+// TestScripts runs each script with its own platform, whose address is in its environment.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata",
@@ -31,12 +31,13 @@
 			env.Setenv("USER", "mari")
 			return nil
 		},
-		Cmds: map[string]func(*testscript.TestScript, bool, []string){"platform": fault},
+		Cmds: map[string]func(*testscript.TestScript, bool, []string){"platform": setFaults},
 	})
 }
 
-// fault switches the platform's faults: platform down, up or lose.
-func fault(ts *testscript.TestScript, _ bool, args []string) {
+// setFaults implements the platform command, which sets the faults of the
+// platform: down, lose (loses one answer) or up (none).
+func setFaults(ts *testscript.TestScript, _ bool, args []string) {
 	server := ts.Value("platform").(*platform.Server)
 	switch args[0] {
 	case "down":
--- a/cmd/wagtailtray/status.go
+++ b/cmd/wagtailtray/status.go
@@ -11,12 +11,12 @@
 )
 
 type statusCommand struct {
-	Peers []netip.AddrPort `help:"Control addresses of balancers to ask first." required:"" env:"WAGTAILTRAY_PEERS" placeholder:"IP:PORT"`
+	Peers []netip.AddrPort `help:"Control addresses of balancers to query first." required:"" env:"WAGTAILTRAY_PEERS" placeholder:"IP:PORT"`
 	Key   string           `help:"Deployment key, or two during a rotation." required:"" env:"WAGTAILTRAY_KEY"`
 	JSON  bool             `name:"json" help:"Print one JSON object."`
 }
 
-// Run asks the balancers and shows the sums.
+// Run queries the balancers and prints totals.
 func (c *statusCommand) Run(ctx context.Context) error {
 	ring, err := key.Parse(c.Key)
 	if err != nil {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	return show(c.JSON, s, func() { printStatus(s) })
+	return printResult(c.JSON, s, func() { printStatus(s) })
 }
 
 func printStatus(s *status.Status) {
--- a/cmd/wagtailtray/story.go
+++ b/cmd/wagtailtray/story.go
@@ -10,15 +10,15 @@
 	"github.com/wagtailtray/wagtailtray/internal/process/decisions"
 )
 
-// errNoStory means that no log has a line about the flow.
-var errNoStory = errs.New("no line is about this flow")
+// errNoLogLines is returned if no log has a line about the flow.
+var errNoLogLines = errs.New("no log line mentions this flow")
 
 type storyCommand struct {
-	Flow string   `help:"The flow's caller, or caller>listener." required:"" placeholder:"IP:PORT"`
+	Flow string   `help:"Caller address of the flow, or caller>listener." required:"" placeholder:"IP:PORT"`
 	Logs []string `arg:"" help:"Logs of balancers and agents; - for standard input." default:"-"`
 }
 
-// Run reads the logs and prints the flow's story.
+// Run prints the log lines about the flow.
 func (c *storyCommand) Run() error {
 	var all []decisions.Line
 	for _, path := range c.Logs {
@@ -30,7 +30,7 @@
 	}
 	story := decisions.Story(all, c.Flow)
 	if len(story) == 0 {
-		return fmt.Errorf("%w: %s in %d lines", errNoStory, c.Flow, len(all))
+		return fmt.Errorf("%w: %s in %d lines", errNoLogLines, c.Flow, len(all))
 	}
 	return decisions.WriteStory(os.Stdout, story)
 }
--- a/cmd/wagtailtray/try.go
+++ b/cmd/wagtailtray/try.go
@@ -14,22 +14,23 @@
 
 type tryCommand struct {
 	Deployment string        `help:"Built-in deployment: valuvorm or porto." default:"valuvorm" enum:"valuvorm,porto"`
-	Seed       uint64        `help:"Seed of the sessions and of the network's faults." default:"1"`
-	For        time.Duration `help:"How long sessions are opened; the run ends when they have ended." default:"20s"`
-	Sessions   int           `help:"Sessions that are open at a time." default:"300"`
+	Seed       uint64        `help:"Random seed of the sessions and the network faults." default:"1"`
+	For        time.Duration `help:"Time during which sessions are opened; the run ends with the last session." default:"20s"`
+	Sessions   int           `help:"Number of concurrent sessions." default:"300"`
 	JSON       bool          `name:"json" help:"Print one JSON object on standard output."`
-	Log        string        `help:"Level of the processes' logs on standard error." default:"disabled" enum:"debug,info,warn,error,disabled"`
+	Log        string        `help:"Log level of the processes, on standard error." default:"disabled" enum:"debug,info,warn,error,disabled"`
 }
 
-const leastTry = 5 * time.Second
+// minTryDuration leaves time for every configuration change of the trial.
+const minTryDuration = 5 * time.Second
 
-// Run runs the trial.
+// Run runs the trial and prints its report.
 func (c *tryCommand) Run(ctx context.Context) error {
-	if c.For < leastTry {
-		return fmt.Errorf("try: --for %s is too short for its changes; the least is %s", c.For, leastTry)
+	if c.For < minTryDuration {
+		return fmt.Errorf("try: --for %s is too short for the changes of the trial; the minimum is %s", c.For, minTryDuration)
 	}
-	// The QUIC library warns on standard error where the system caps the
-	// size of socket buffers; a trial does not need more.
+	// The QUIC library warns on standard error where the system limits the
+	// size of socket buffers; a trial does not need larger ones.
 	_ = os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true")
 	level, err := zerolog.ParseLevel(c.Log)
 	if err != nil {
@@ -47,14 +48,14 @@
 	if err != nil {
 		return err
 	}
-	c.show(r)
+	c.printReport(r)
 	if !r.Kept() {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
 
-func (c *tryCommand) show(r *try.Report) {
+func (c *tryCommand) printReport(r *try.Report) {
 	if c.JSON {
 		encoder := json.NewEncoder(os.Stdout)
 		_ = encoder.Encode(r)
