--- a/cmd/wagtailtrayd/agent.go
+++ b/cmd/wagtailtrayd/agent.go
@@ -13,16 +13,16 @@
 
 type agentCommand struct {
 	common
-	Service   string                    `help:"Service that the target serves." required:""`
-	Tunnel    lenient[netip.AddrPort]   `help:"Address that takes envelopes." required:"" placeholder:"IP:PORT"`
-	Upstream  lenient[netip.AddrPort]   `help:"Address of the upstream." required:"" placeholder:"IP:PORT"`
-	Local     lenient[netip.Addr]       `help:"Address that the upstream sees flows come from; needed to hand flows over." placeholder:"IP"`
-	Load      string                    `help:"IP:PORT and path of the upstream's load endpoint." placeholder:"IP:PORT/PATH"`
-	Balancers []lenient[netip.AddrPort] `help:"Control addresses of balancers for first contact." required:"" placeholder:"IP:PORT"`
+	Service   string                      `help:"Service that the target serves." required:""`
+	Tunnel    flagValue[netip.AddrPort]   `help:"Address that receives envelopes." required:"" placeholder:"IP:PORT"`
+	Upstream  flagValue[netip.AddrPort]   `help:"Address of the upstream." required:"" placeholder:"IP:PORT"`
+	Local     flagValue[netip.Addr]       `help:"Source address of flows towards the upstream; needed to hand flows over." placeholder:"IP"`
+	Load      string                      `help:"IP:PORT and path of the load endpoint of the upstream." placeholder:"IP:PORT/PATH"`
+	Balancers []flagValue[netip.AddrPort] `help:"Control addresses of balancers to bootstrap from." required:"" placeholder:"IP:PORT"`
 }
 
-// Run runs the agent until a signal, or until a later process of its target
-// has taken over.
+// Run runs the agent until a signal, or until a newer process of its target
+// has superseded it.
 func (c *agentCommand) Run() error {
 	settings, deps, err := c.settings()
 	if err != nil {
@@ -30,20 +30,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	tracer, endTraces, err := c.tracer(ctx)
+	tracer, stopTracer, err := c.tracer(ctx)
 	if err != nil {
 		return err
 	}
-	defer endTraces()
+	defer stopTracer()
 	o := operations.New("agent")
 	defer o.Close()
 	deps.Scope, deps.Tracer = o.Scope(), tracer
-	ch := signals()
+	ch := notifySignals()
 	a, err := agent.New(settings, deps)
 	if err != nil {
 		return err
 	}
-	if err := c.operate(o, a.Ready); err != nil {
+	if err := c.serveOperations(o, a.Ready); err != nil {
 		return err
 	}
 	return c.serve(ctx, cancel, a, ch, deps)
@@ -63,51 +63,51 @@
 			a.Kill()
 			return err
 		case <-ch:
-			if started != nil && stoppedBefore(cancel, started) {
-				// Nothing is served yet, so nothing is handed over.
+			if started != nil && cancelStart(cancel, started) {
+				// The agent has no flows to hand over before it serves.
 				a.Kill()
-				deps.Log.Info().Str("event", "stopping").Msg("stopped before it served")
+				deps.Log.Info().Str("event", "stopping").Msg("stopped during startup")
 				return nil
 			}
-			deps.Log.Info().Str("event", "stopping").Msg("planned stop")
-			stop, end := untilSecond(ch)
-			defer end()
-			a.Stop(stop)
+			deps.Log.Info().Str("event", "stopping").Msg("graceful shutdown")
+			stopCtx, cancelStop := cancelOnSecondSignal(ch)
+			defer cancelStop()
+			a.Stop(stopCtx)
 			return nil
 		}
 	}
 }
 
-// stoppedBefore ends a start, and reports that it had not come to its end: the signal and
-// the end may come together, and what serves already must be stopped as planned.
-func stoppedBefore(cancel context.CancelFunc, started <-chan error) bool {
+// cancelStart cancels Start and reports whether it was still incomplete. If Start completed
+// at the same moment as the signal, the agent already serves and needs a graceful shutdown.
+func cancelStart(cancel context.CancelFunc, started <-chan error) bool {
 	cancel()
 	return <-started != nil
 }
 
-// settings checks the flags and turns them into settings.
+// settings validates the flags and converts them to agent settings.
 func (c *agentCommand) settings() (agent.Settings, agent.Deps, error) {
-	k := &checker{}
-	ring := c.check(k)
-	k.want(name.MatchString(c.Service), "service", "want lower-case letters, digits, dots and dashes, not %q", c.Service)
-	if readable(k, "tunnel", c.Tunnel, wantAddress) {
-		k.want(!c.Tunnel.value.Addr().IsUnspecified(), "tunnel", "want the address that others reach this VM at")
+	v := &validator{}
+	ring := c.validate(v)
+	v.require(namePattern.MatchString(c.Service), "service", "want lower-case letters, digits, dots and dashes, not %q", c.Service)
+	if checkParsed(v, "tunnel", c.Tunnel, wantAddress) {
+		v.require(!c.Tunnel.value.Addr().IsUnspecified(), "tunnel", "want an address at which other processes reach this VM")
 	}
-	if readable(k, "upstream", c.Upstream, wantAddress) {
+	if checkParsed(v, "upstream", c.Upstream, wantAddress) {
 		u := c.Upstream.value
-		k.want(!u.Addr().IsUnspecified() && u.Port() != 0, "upstream", "want the upstream's address and port")
+		v.require(!u.Addr().IsUnspecified() && u.Port() != 0, "upstream", "want the address and port of the upstream")
 	}
-	if readable(k, "local", c.Local, wantIP) && c.Local.value.IsValid() && !c.Upstream.bad {
-		k.want(c.Local.value.Is4() == c.Upstream.value.Addr().Is4(), "local", "want an address of the upstream's family")
+	if checkParsed(v, "local", c.Local, wantIP) && c.Local.value.IsValid() && !c.Upstream.invalid {
+		v.require(c.Local.value.Is4() == c.Upstream.value.Addr().Is4(), "local", "want an address of the same IP version as the upstream")
 	}
-	balancers := values(k, "balancers", c.Balancers, wantAddress)
-	k.want(len(c.Balancers) > 0, "balancers", "want at least one balancer's control address")
-	if err := k.err(); err != nil {
+	balancers := parsedValues(v, "balancers", c.Balancers, wantAddress)
+	v.require(len(c.Balancers) > 0, "balancers", "want the control address of at least one balancer")
+	if err := v.err(); err != nil {
 		return agent.Settings{}, agent.Deps{}, err
 	}
 	settings := agent.Settings{
 		Name: c.Name, Service: c.Service, Domain: c.Domain, Control: c.Control.value, Tunnel: c.Tunnel.value,
-		Upstream: c.Upstream.value, Local: c.local(), Load: c.Load, Balancers: balancers, Workers: c.Workers.value, MTU: c.MTU.value,
+		Upstream: c.Upstream.value, Local: c.localAddress(), Load: c.Load, Balancers: balancers, Workers: c.Workers.value, MTU: c.MTU.value,
 	}
 	deps := agent.Deps{
 		Ring: ring, Store: platform.NewClient(c.Platform.value.String()), Clock: clock.System(), Log: c.logger("agent"),
@@ -115,8 +115,8 @@
 	return settings, deps, nil
 }
 
-// local is the upstream's own address unless given: the agent runs beside it.
-func (c *agentCommand) local() netip.Addr {
+// localAddress defaults to the address of the upstream, on whose VM the agent runs.
+func (c *agentCommand) localAddress() netip.Addr {
 	if c.Local.value.IsValid() {
 		return c.Local.value
 	}
--- a/cmd/wagtailtrayd/agent_test.go
+++ b/cmd/wagtailtrayd/agent_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A signal comes together with the end of a start. The agent serves already, so its flows
-// must be handed over.
+// Guards against losing flows when a signal arrives just as Start completes: the agent
+// already serves, so it must hand its flows over.
 func TestSignalAtTheEndOfStart(t *testing.T) {
 	for _, c := range []struct {
 		ended error
@@ -14,8 +14,8 @@
 	}{{nil, false}, {context.Canceled, true}} {
 		started := make(chan error, 1)
 		started <- c.ended
-		if got := stoppedBefore(func() {}, started); got != c.want {
-			t.Errorf("a start that ended with %v was stopped before its end: %t", c.ended, got)
+		if got := cancelStart(func() {}, started); got != c.want {
+			t.Errorf("after Start returned %v, cancelStart = %t", c.ended, got)
 		}
 	}
 }
--- a/cmd/wagtailtrayd/balancer.go
+++ b/cmd/wagtailtrayd/balancer.go
@@ -13,19 +13,19 @@
 
 type balancerCommand struct {
 	common
-	Tunnel  lenient[netip.Addr]       `help:"Address of the sockets towards the agents." required:"" placeholder:"IP"`
-	Ports   lenient[int]              `help:"Sockets towards the agents." default:"4"`
-	Edge    lenient[netip.Addr]       `help:"Address that replaces each service's own, where the fabric rewrites destinations." placeholder:"IP"`
-	Peers   []lenient[netip.AddrPort] `help:"Control addresses of balancers to join through." placeholder:"IP:PORT"`
-	Hints   lenient[int]              `help:"Flows whose owner is remembered." default:"262144"`
-	Pending lenient[int]              `help:"Flows that may be asked about at a time." default:"65536"`
-	Walks   lenient[int]              `help:"Walks a second for flows that are not known." default:"20000"`
+	Tunnel  flagValue[netip.Addr]       `help:"Local address of the sockets to agents." required:"" placeholder:"IP"`
+	Ports   flagValue[int]              `help:"Number of sockets to agents." default:"4"`
+	Edge    flagValue[netip.Addr]       `help:"Address to listen on instead of the service addresses, where the fabric rewrites destinations." placeholder:"IP"`
+	Peers   []flagValue[netip.AddrPort] `help:"Control addresses of balancers to join through." placeholder:"IP:PORT"`
+	Hints   flagValue[int]              `help:"Maximum number of flows whose owner is cached." default:"262144"`
+	Pending flagValue[int]              `help:"Maximum number of flows with a pending owner query." default:"65536"`
+	Walks   flagValue[int]              `help:"Maximum number of walks per second for unknown flows." default:"20000"`
 }
 
 const (
-	mostPorts = 64
-	mostHints = 1 << 24
-	mostWalks = 1 << 20
+	maxPorts = 64
+	maxHints = 1 << 24
+	maxWalks = 1 << 20
 )
 
 // Run runs the balancer until a signal.
@@ -35,47 +35,47 @@
 		return err
 	}
 	ctx := context.Background()
-	tracer, endTraces, err := c.tracer(ctx)
+	tracer, stopTracer, err := c.tracer(ctx)
 	if err != nil {
 		return err
 	}
-	defer endTraces()
+	defer stopTracer()
 	o := operations.New("balancer")
 	defer o.Close()
 	deps.Scope, deps.Tracer = o.Scope(), tracer
-	ch := signals()
+	ch := notifySignals()
 	b, err := balancer.New(settings, deps)
 	if err != nil {
 		return err
 	}
-	if err := c.operate(o, b.Ready); err != nil {
+	if err := c.serveOperations(o, b.Ready); err != nil {
 		return err
 	}
 	if err := b.Start(ctx); err != nil {
 		return err
 	}
 	<-ch
-	deps.Log.Info().Str("event", "stopping").Msg("planned stop")
-	stop, cancel := untilSecond(ch)
+	deps.Log.Info().Str("event", "stopping").Msg("graceful shutdown")
+	stopCtx, cancel := cancelOnSecondSignal(ch)
 	defer cancel()
-	b.Stop(stop)
+	b.Stop(stopCtx)
 	return nil
 }
 
-// settings checks the flags and turns them into settings.
+// settings validates the flags and converts them to balancer settings.
 func (c *balancerCommand) settings() (balancer.Settings, balancer.Deps, error) {
-	k := &checker{}
-	ring := c.check(k)
-	if readable(k, "tunnel", c.Tunnel, wantIP) {
-		k.want(!c.Tunnel.value.IsUnspecified(), "tunnel", "want the address that agents reach this VM at")
+	v := &validator{}
+	ring := c.validate(v)
+	if checkParsed(v, "tunnel", c.Tunnel, wantIP) {
+		v.require(!c.Tunnel.value.IsUnspecified(), "tunnel", "want an address at which agents reach this VM")
 	}
-	readable(k, "edge", c.Edge, wantIP)
-	peers := values(k, "peers", c.Peers, wantAddress)
-	between(k, "ports", c.Ports, 1, mostPorts)
-	between(k, "hints", c.Hints, 1, mostHints)
-	between(k, "pending", c.Pending, 1, mostHints)
-	between(k, "walks", c.Walks, 1, mostWalks)
-	if err := k.err(); err != nil {
+	checkParsed(v, "edge", c.Edge, wantIP)
+	peers := parsedValues(v, "peers", c.Peers, wantAddress)
+	checkRange(v, "ports", c.Ports, 1, maxPorts)
+	checkRange(v, "hints", c.Hints, 1, maxHints)
+	checkRange(v, "pending", c.Pending, 1, maxHints)
+	checkRange(v, "walks", c.Walks, 1, maxWalks)
+	if err := v.err(); err != nil {
 		return balancer.Settings{}, balancer.Deps{}, err
 	}
 	settings := balancer.Settings{
--- a/cmd/wagtailtrayd/common.go
+++ b/cmd/wagtailtrayd/common.go
@@ -28,67 +28,67 @@
 // errSettings is in the chain of every error about settings.
 var errSettings = errs.New("settings")
 
-// common is the settings of both roles.
+// common holds the flags of both roles.
 type common struct {
-	Name       string                  `help:"Name of this process (agent: of its target), unique in the deployment (in its service)." required:""`
-	Domain     string                  `help:"Failure domain that this VM is in." required:""`
-	Platform   lenient[netip.AddrPort] `help:"Address of the platform's object service." required:"" placeholder:"IP:PORT"`
-	Key        string                  `help:"Deployment key, or two separated by a comma during a rotation; the first one signs." required:""`
-	Control    lenient[netip.AddrPort] `help:"Address for control calls." required:"" placeholder:"IP:PORT"`
-	Operations lenient[netip.AddrPort] `help:"Address for /metrics, /live and /ready; none if not given." placeholder:"IP:PORT"`
-	Workers    lenient[int]            `help:"Workers a socket." default:"2"`
-	MTU        lenient[int]            `name:"mtu" help:"MTU of the path between balancers and agents, in bytes." default:"1500"`
-	Log        string                  `help:"Least level that is logged." default:"info" enum:"debug,info,warn,error"`
-	Trace      string                  `help:"Where spans go: off, stdout, or IP:PORT of an OTLP receiver over HTTP." default:"off"`
-	TraceShare lenient[float64]        `help:"Share of the datagrams that open no flow which is traced." default:"0.0001"`
+	Name       string                    `help:"Name of the balancer, unique in the deployment, or of the target of the agent, unique in its service." required:""`
+	Domain     string                    `help:"Failure domain of this VM." required:""`
+	Platform   flagValue[netip.AddrPort] `help:"Address of the platform's object service." required:"" placeholder:"IP:PORT"`
+	Key        string                    `help:"Deployment key, or two separated by a comma during a rotation; the first one signs." required:""`
+	Control    flagValue[netip.AddrPort] `help:"Address for control calls." required:"" placeholder:"IP:PORT"`
+	Operations flagValue[netip.AddrPort] `help:"Address for /metrics, /live and /ready; none if not given." placeholder:"IP:PORT"`
+	Workers    flagValue[int]            `help:"Workers per socket." default:"2"`
+	MTU        flagValue[int]            `name:"mtu" help:"MTU of the path between balancers and agents, in bytes." default:"1500"`
+	Log        string                    `help:"Minimum log level." default:"info" enum:"debug,info,warn,error"`
+	Trace      string                    `help:"Exporter of spans: off, stdout, or IP:PORT of an OTLP/HTTP receiver." default:"off"`
+	TraceShare flagValue[float64]        `help:"Sampling ratio of datagrams that do not open a flow." default:"0.0001"`
 }
 
 const (
-	leastMTU   = 576
-	mostMTU    = 9000
-	mostWorker = 64
+	minMTU     = 576
+	maxMTU     = 9000
+	maxWorkers = 64
 )
 
-var name = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// checker collects the mistakes in settings, so that all are named at once.
-type checker struct {
-	found []error
+// validator collects the errors in settings, so that all are reported together.
+type validator struct {
+	problems []error
 }
 
-func (c *checker) want(ok bool, flag, format string, args ...any) {
+func (v *validator) require(ok bool, flag, format string, args ...any) {
 	if !ok {
-		c.found = append(c.found, errs.New("--%s: %s", flag, fmt.Sprintf(format, args...)))
+		v.problems = append(v.problems, errs.New("--%s: %s", flag, fmt.Sprintf(format, args...)))
 	}
 }
 
-func (c *checker) err() error {
-	if len(c.found) == 0 {
+func (v *validator) err() error {
+	if len(v.problems) == 0 {
 		return nil
 	}
-	return errors.Join(append([]error{errSettings}, c.found...)...)
+	return errors.Join(append([]error{errSettings}, v.problems...)...)
 }
 
-func (c *common) check(k *checker) key.Ring {
-	k.want(name.MatchString(c.Name), "name", "want lower-case letters, digits, dots and dashes, not %q", c.Name)
-	k.want(name.MatchString(c.Domain), "domain", "want lower-case letters, digits, dots and dashes, not %q", c.Domain)
-	readable(k, "platform", c.Platform, wantAddress)
-	readable(k, "operations", c.Operations, wantAddress)
-	if readable(k, "control", c.Control, wantAddress) {
-		k.want(!c.Control.value.Addr().IsUnspecified(), "control", "want the address that others reach this VM at")
+func (c *common) validate(v *validator) key.Ring {
+	v.require(namePattern.MatchString(c.Name), "name", "want lower-case letters, digits, dots and dashes, not %q", c.Name)
+	v.require(namePattern.MatchString(c.Domain), "domain", "want lower-case letters, digits, dots and dashes, not %q", c.Domain)
+	checkParsed(v, "platform", c.Platform, wantAddress)
+	checkParsed(v, "operations", c.Operations, wantAddress)
+	if checkParsed(v, "control", c.Control, wantAddress) {
+		v.require(!c.Control.value.Addr().IsUnspecified(), "control", "want an address at which other processes reach this VM")
 	}
-	between(k, "workers", c.Workers, 1, mostWorker)
-	between(k, "mtu", c.MTU, leastMTU, mostMTU)
-	if readable(k, "trace-share", c.TraceShare, wantNumber) {
+	checkRange(v, "workers", c.Workers, 1, maxWorkers)
+	checkRange(v, "mtu", c.MTU, minMTU, maxMTU)
+	if checkParsed(v, "trace-share", c.TraceShare, wantNumber) {
 		share := c.TraceShare.value
-		k.want(share >= 0 && share <= 1 && !math.IsNaN(share), "trace-share", "want a share from 0 to 1, not %g", share)
+		v.require(share >= 0 && share <= 1 && !math.IsNaN(share), "trace-share", "want a ratio from 0 to 1, not %g", share)
 	}
 	if c.Trace != "off" && c.Trace != "stdout" {
 		_, err := netip.ParseAddrPort(c.Trace)
-		k.want(err == nil, "trace", "want off, stdout or IP:PORT, not %q", c.Trace)
+		v.require(err == nil, "trace", "want off, stdout or IP:PORT, not %q", c.Trace)
 	}
 	ring, err := key.Parse(c.Key)
-	k.want(err == nil, "key", "%v", err)
+	v.require(err == nil, "key", "%v", err)
 	return ring
 }
 
@@ -101,10 +101,11 @@
 		Str("role", role).Str("name", c.Name).Str("domain", c.Domain).Logger()
 }
 
-// traceTimeout bounds the last export at the end of the process.
+// traceTimeout limits the export of the remaining spans at shutdown.
 const traceTimeout = 2 * time.Second
 
-// tracer returns the tracer that the settings ask for, and its end.
+// tracer returns the configured tracer, nil if tracing is off, and a function
+// that shuts it down.
 func (c *common) tracer(ctx context.Context) (*trace.Tracer, func(), error) {
 	exporter, err := c.exporter(ctx)
 	if err != nil || exporter == nil {
@@ -130,24 +131,24 @@
 	}
 }
 
-// operate serves metrics and readiness, where the settings ask for it.
-func (c *common) operate(o *operations.Operations, ready func() string) error {
+// serveOperations serves metrics and health checks if an address is configured.
+func (c *common) serveOperations(o *operations.Operations, ready func() string) error {
 	if !c.Operations.value.IsValid() {
 		return nil
 	}
 	return o.Serve(c.Operations.value, ready)
 }
 
-// signals returns a channel for SIGTERM and interrupts.
-func signals() chan os.Signal {
+// notifySignals returns a channel that receives SIGTERM and SIGINT.
+func notifySignals() chan os.Signal {
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, syscall.SIGTERM, os.Interrupt)
 	return ch
 }
 
-// untilSecond returns a context that a second signal ends, so that an operator
-// can cut a planned stop short.
-func untilSecond(ch chan os.Signal) (context.Context, context.CancelFunc) {
+// cancelOnSecondSignal returns a context that the next signal cancels, so that
+// an operator can cut a graceful shutdown short.
+func cancelOnSecondSignal(ch chan os.Signal) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		select {
@@ -159,8 +160,8 @@
 	return ctx, cancel
 }
 
-// report shows an error, once, and gives its exit code.
-func report(err error) int {
+// reportError prints err and returns its exit code.
+func reportError(err error) int {
 	if err == nil {
 		return exitOK
 	}
--- a/cmd/wagtailtrayd/flag.go
+++ b/cmd/wagtailtrayd/flag.go
@@ -5,20 +5,20 @@
 	"strconv"
 )
 
-// lenient is a flag's value that is read as far as it goes. The command line
-// library stops at the first value that it cannot read; a process names all
-// mistakes in its settings at once, so a value that is wrong is kept with its text
-// until the settings are checked.
-type lenient[T any] struct {
-	value T
-	text  string
-	bad   bool
+// flagValue is a flag value whose parse error is deferred. The command line
+// library stops at the first value that fails to parse; the daemon reports all
+// errors in its settings together, so an invalid value is kept with its text
+// until the settings are validated.
+type flagValue[T any] struct {
+	value   T
+	text    string
+	invalid bool
 }
 
-// UnmarshalText never fails; check reports what could not be read.
-func (l *lenient[T]) UnmarshalText(b []byte) error {
+// UnmarshalText never fails; checkParsed reports values that could not be parsed.
+func (l *flagValue[T]) UnmarshalText(b []byte) error {
 	l.text = string(b)
-	l.bad = parse(l.text, &l.value) != nil
+	l.invalid = parse(l.text, &l.value) != nil
 	return nil
 }
 
@@ -37,31 +37,32 @@
 	return err
 }
 
-// readable reports a value that could not be read.
-func readable[T any](k *checker, flag string, l lenient[T], want string) bool {
-	k.want(!l.bad, flag, "want %s, not %q", want, l.text)
-	return !l.bad
+// checkParsed records an error if the value could not be parsed, and reports
+// whether it was.
+func checkParsed[T any](v *validator, flag string, l flagValue[T], want string) bool {
+	v.require(!l.invalid, flag, "want %s, not %q", want, l.text)
+	return !l.invalid
 }
 
-// What the kinds of values look like.
+// Descriptions of the expected values in error messages.
 const (
 	wantAddress = "an IP address and a port, as in 192.0.2.7:7000"
 	wantIP      = "an IP address"
 	wantNumber  = "a number"
 )
 
-// between reports a number that cannot be read or is out of its range.
-func between(k *checker, flag string, l lenient[int], least, most int) {
-	if readable(k, flag, l, wantNumber) {
-		k.want(l.value >= least && l.value <= most, flag, "want %d to %d, not %d", least, most, l.value)
+// checkRange records an error if the number could not be parsed or is out of range.
+func checkRange(v *validator, flag string, l flagValue[int], low, high int) {
+	if checkParsed(v, flag, l, wantNumber) {
+		v.require(l.value >= low && l.value <= high, flag, "want %d to %d, not %d", low, high, l.value)
 	}
 }
 
-// values returns the values of a list, each of which is checked.
-func values[T any](k *checker, flag string, all []lenient[T], want string) []T {
+// parsedValues returns the valid values of a list and records an error for each other one.
+func parsedValues[T any](v *validator, flag string, list []flagValue[T], want string) []T {
 	var out []T
-	for _, l := range all {
-		if readable(k, flag, l, want) {
+	for _, l := range list {
+		if checkParsed(v, flag, l, want) {
 			out = append(out, l.value)
 		}
 	}
--- a/cmd/wagtailtrayd/main.go
+++ b/cmd/wagtailtrayd/main.go
@@ -1,13 +1,13 @@
 // Command wagtailtrayd is the daemon: a balancer on an entry VM, or an agent
-// beside a target.
+// on the VM of a target.
 //
 // # Usage
 //
 //	wagtailtrayd balancer --name tln-a-1 --domain tln-a ...
 //	wagtailtrayd agent --name quote-1 --service quote-session ...
 //
-// Every flag can be given as an environment variable; see --help. SIGTERM is a
-// planned stop, a second one ends the process at once.
+// Every flag can be given as an environment variable; see --help. SIGTERM starts
+// a graceful shutdown, a second one ends the process at once.
 package main
 
 import (
@@ -27,28 +27,27 @@
 )
 
 type cli struct {
-	Balancer balancerCommand `cmd:"" help:"Take callers' datagrams and bring them to the targets."`
-	Agent    agentCommand    `cmd:"" help:"Own the flows of one target and speak to its upstream."`
+	Balancer balancerCommand `cmd:"" help:"Receive datagrams from callers and forward them to targets."`
+	Agent    agentCommand    `cmd:"" help:"Own the flows of one target and relay them to its upstream."`
 }
 
-// collectAt is by how many percent the heap may grow over its live part before
-// it is collected, unless GOGC says otherwise.
+// gcPercent is the garbage collection target percentage, unless GOGC is set.
 //
-// By Go's own value the heap may double: 7 MB of live control state at the size
-// of two years would take 14 MB, and the daemon more than its 32 MB. The packet
-// path allocates nothing, so that the collector seldom runs all the same.
-const collectAt = 30
+// With Go's default the heap may double: the 7 MB of live control state of the
+// fleet planned in two years would take 14 MB, and the daemon more than its limit
+// of 32 MB. The packet path does not allocate, so collections stay rare.
+const gcPercent = 30
 
 func main() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectAt)
+		debug.SetGCPercent(gcPercent)
 	}
 	os.Exit(run(os.Args[1:]))
 }
 
 func run(args []string) int {
-	// The QUIC library, which makes refusals only, would warn in words of
-	// its own that its connection is no socket.
+	// The QUIC library only generates refusals, over a connection that is not
+	// a socket; it would log a warning about that.
 	_ = os.Setenv("QUIC_GO_DISABLE_RECEIVE_BUFFER_WARNING", "true")
 	var c cli
 	parser, err := kong.New(&c, kong.Name("wagtailtrayd"), kong.DefaultEnvars("WAGTAILTRAY"),
@@ -62,5 +61,5 @@
 		fmt.Fprintf(os.Stderr, "wagtailtrayd: %v\n", err)
 		return exitUsage
 	}
-	return report(parsed.Run())
+	return reportError(parsed.Run())
 }
--- a/cmd/wagtailtrayd/script_test.go
+++ b/cmd/wagtailtrayd/script_test.go
@@ -14,22 +14,22 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestMain builds the project's programs, for the scripts run them as processes
-// of their own.
+// TestMain builds the commands of the module, which the scripts run as separate
+// processes.
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "wagtailtray")
+	dir, err := os.MkdirTemp("", "wagtailtray")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	out, err := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "../...").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+string(filepath.Separator), "../...").CombinedOutput()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s\n%v\n", out, err)
 		os.Exit(1)
 	}
-	_ = os.Setenv("PATH", folder+string(filepath.ListSeparator)+os.Getenv("PATH"))
+	_ = os.Setenv("PATH", dir+string(filepath.ListSeparator)+os.Getenv("PATH"))
 	code := m.Run()
-	_ = os.RemoveAll(folder)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
@@ -40,24 +40,24 @@
 	})
 }
 
-// await waits until a page of a process matches. It gives up after a minute,
-// which no working machine needs. What is waited for must stay true: a counter
-// that has passed a number, not a gauge that may go by it unseen.
+// await polls an HTTP page of a process until it matches a pattern, for at most a
+// minute, far longer than a working machine needs. The condition must stay true once
+// met: a counter above a value, not a gauge that may pass the value between polls.
 func await(ts *testscript.TestScript, _ bool, args []string) {
-	end := time.Now().Add(time.Minute)
-	wanted := regexp.MustCompile(args[1])
+	deadline := time.Now().Add(time.Minute)
+	pattern := regexp.MustCompile(args[1])
 	last := ""
-	for time.Now().Before(end) {
-		last = page(args[0])
-		if wanted.MatchString(last) {
+	for time.Now().Before(deadline) {
+		last = fetchPage(args[0])
+		if pattern.MatchString(last) {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	ts.Fatalf("%s never matched %q; last it had:\n%s", args[0], args[1], last)
+	ts.Fatalf("%s did not match %q; last response:\n%s", args[0], args[1], last)
 }
 
-func page(url string) string {
+func fetchPage(url string) string {
 	res, err := http.Get(url)
 	if err != nil {
 		return err.Error()
