--- a/cmd/standin/caller.go
+++ b/cmd/standin/caller.go
@@ -12,26 +12,26 @@
 )
 
 type callerCommand struct {
-	Service  string         `help:"Service that is called." required:""`
-	Address  netip.AddrPort `help:"The service's address." required:""`
+	Service  string         `help:"Service to call." required:""`
+	Address  netip.AddrPort `help:"Address of the service." required:""`
 	Local    netip.Addr     `help:"Address to call from." default:"127.0.0.1"`
-	Sessions int            `help:"Sessions, opened evenly over the first half." default:"20"`
-	For      time.Duration  `help:"How long the run takes." default:"10s"`
+	Sessions int            `help:"Number of sessions, opened evenly over the first half of the run." default:"20"`
+	For      time.Duration  `help:"Duration of the run." default:"10s"`
 }
 
-const mostSessions = 5000
+const maxSessions = 5000
 
-// Run opens the sessions and judges what they saw. What upstreams in other
-// processes ran is not known here, so only the callers' end is judged.
+// Run opens the sessions and checks their results. It checks only the callers'
+// side: which requests the upstreams, in other processes, ran is unknown here.
 func (c *callerCommand) Run(ctx context.Context) error {
-	if err := loopback(c.Address.Addr(), c.Local); err != nil {
+	if err := requireLoopback(c.Address.Addr(), c.Local); err != nil {
 		return err
 	}
-	if c.Sessions < 1 || c.Sessions > mostSessions {
-		return fmt.Errorf("caller: --sessions: want 1 to %d, not %d", mostSessions, c.Sessions)
+	if c.Sessions < 1 || c.Sessions > maxSessions {
+		return fmt.Errorf("caller: --sessions: want 1 to %d, not %d", maxSessions, c.Sessions)
 	}
 	oracle := exchange.NewOracle()
-	var all sync.WaitGroup
+	var sessions sync.WaitGroup
 	for n := range c.Sessions {
 		plan := caller.Plan{
 			Service: c.Service, Address: c.Address, Local: c.Local, Length: c.For / 2, Pause: 200 * time.Millisecond,
@@ -39,15 +39,15 @@
 		if n%2 == 0 {
 			plan.Every, plan.Ticks = 100, int(c.For/2/(100*time.Millisecond))
 		}
-		all.Go(func() { _ = caller.Session(ctx, plan, oracle) })
+		sessions.Go(func() { _ = caller.Session(ctx, plan, oracle) })
 		time.Sleep(c.For / 2 / time.Duration(c.Sessions))
 	}
-	all.Wait()
+	sessions.Wait()
 	v := oracle.Verdict()
 	fmt.Printf("%d sessions: %d opened, %d refused, %d broken; %d requests: %d crossed, %d lost, %d partial\n",
 		v.Flows, v.Opened, v.Refused, v.Broken, v.Requests, v.Crossed, v.Lost, v.Partial)
 	if v.Broken+v.Crossed+v.Lost+v.Partial > 0 || v.Opened < v.Flows-v.Refused {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs the stand-ins of the project's tests as processes of
-// their own: the platform's object service, the fabric, upstreams and callers.
-// They are for trials on loopback and serve nobody else.
+// Command standin runs the fakes of the project's tests as separate processes:
+// the platform's object service, the fabric, upstreams and callers. They are for
+// trials and accept only loopback addresses.
 //
 // # Usage
 //
@@ -24,21 +24,21 @@
 )
 
 const (
-	exitFailed = 1
-	exitUsage  = 2
-	exitBroken = 7
+	exitFailed    = 1
+	exitUsage     = 2
+	exitViolation = 7
 )
 
 var (
-	errBroken   = errs.New("a promise was broken")
-	errLoopback = errs.New("stand-ins work on loopback addresses only")
+	errViolation = errs.New("a guarantee was violated")
+	errLoopback  = errs.New("only loopback addresses are allowed")
 )
 
 type cli struct {
-	Platform platformCommand `cmd:"" help:"The platform's object service, in memory."`
-	Fabric   fabricCommand   `cmd:"" help:"The network before the balancers."`
-	Upstream upstreamCommand `cmd:"" help:"A QUIC upstream with a load endpoint."`
-	Caller   callerCommand   `cmd:"" help:"QUIC sessions; prints what they saw."`
+	Platform platformCommand `cmd:"" help:"Run an in-memory object service of the platform."`
+	Fabric   fabricCommand   `cmd:"" help:"Run the network in front of the balancers."`
+	Upstream upstreamCommand `cmd:"" help:"Run a QUIC upstream with a load endpoint."`
+	Caller   callerCommand   `cmd:"" help:"Open QUIC sessions and print their results."`
 }
 
 func main() {
@@ -65,17 +65,17 @@
 		return 0
 	}
 	fmt.Fprintf(os.Stderr, "standin: %v\n", err)
-	if errors.Is(err, errBroken) {
-		return exitBroken
+	if errors.Is(err, errViolation) {
+		return exitViolation
 	}
 	return exitFailed
 }
 
-// loopback refuses addresses beyond this machine.
-func loopback(all ...netip.Addr) error {
-	for _, a := range all {
+// requireLoopback returns an error if an address is not a loopback address.
+func requireLoopback(addresses ...netip.Addr) error {
+	for _, a := range addresses {
 		if !a.IsLoopback() {
-			return errs.Combine(errLoopback, errs.New("%s is not", a))
+			return errs.Combine(errLoopback, errs.New("%s is not a loopback address", a))
 		}
 	}
 	return nil
--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -11,12 +11,12 @@
 )
 
 type platformCommand struct {
-	Listen netip.AddrPort `help:"Address of the service." required:""`
+	Listen netip.AddrPort `help:"Address of the object service." required:""`
 }
 
-// Run serves until a signal. PUT /faults sets faults, GET /calls counts calls.
+// Run serves until a signal. PUT /faults sets faults, GET /calls returns call counts.
 func (c *platformCommand) Run(ctx context.Context) error {
-	if err := loopback(c.Listen.Addr()); err != nil {
+	if err := requireLoopback(c.Listen.Addr()); err != nil {
 		return err
 	}
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.Listen.String())
--- a/cmd/standin/upstream.go
+++ b/cmd/standin/upstream.go
@@ -11,18 +11,18 @@
 
 type upstreamCommand struct {
 	Name      string         `help:"Name of the target." required:""`
-	Service   string         `help:"Service that it serves." required:""`
+	Service   string         `help:"Service of the target." required:""`
 	Listen    netip.AddrPort `help:"Address for flows." required:""`
 	Load      netip.AddrPort `help:"Address of the load endpoint." required:""`
-	Slots     int            `help:"Revisions that run at a time." default:"4"`
-	ColdStart time.Duration  `help:"How long it takes to become warm." default:"0s"`
-	LoadLag   time.Duration  `help:"Delay of the load endpoint's answers." default:"0s"`
-	Lie       bool           `help:"Let the load endpoint always say that all slots are free."`
+	Slots     int            `help:"Maximum number of concurrent revisions." default:"4"`
+	ColdStart time.Duration  `help:"Warm-up time." default:"0s"`
+	LoadLag   time.Duration  `help:"Response delay of the load endpoint." default:"0s"`
+	Lie       bool           `help:"Make the load endpoint report all slots as free at all times."`
 }
 
 // Run serves until a signal.
 func (c *upstreamCommand) Run(ctx context.Context) error {
-	if err := loopback(c.Listen.Addr(), c.Load.Addr()); err != nil {
+	if err := requireLoopback(c.Listen.Addr(), c.Load.Addr()); err != nil {
 		return err
 	}
 	u, err := upstream.Start(upstream.Settings{
