--- a/cmd/experiment/approvals.go
+++ b/cmd/experiment/approvals.go
@@ -8,14 +8,14 @@
 )
 
 type approvalsCommand struct {
-	Balancers int    `help:"Balancers of each fleet." default:"490"`
-	Targets   int    `help:"Targets' records." default:"300"`
-	Services  int    `help:"Services." default:"100"`
-	Approvals int    `help:"Approvals under each trouble." default:"8"`
-	Write     string `help:"Folder of the page; without it the page is printed."`
+	Balancers int    `help:"Number of balancers in each fleet." default:"490"`
+	Targets   int    `help:"Number of records of targets." default:"300"`
+	Services  int    `help:"Number of services." default:"100"`
+	Approvals int    `help:"Number of approvals per fault." default:"8"`
+	Write     string `help:"Directory to write the page to; printed if empty."`
 }
 
-// Run measures and writes.
+// Run measures approvals and writes the page.
 func (c *approvalsCommand) Run() error {
 	size := capacity.FleetSize{Balancers: c.Balancers, Targets: c.Targets, Services: c.Services, Approvals: c.Approvals, Window: time.Second}
 	all, err := capacity.Approvals(context.Background(), size, progress)
--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -11,21 +11,21 @@
 )
 
 type capacityCommand struct {
-	Balancers int           `help:"Balancers of the fleet that checks the extrapolation." default:"490"`
-	Targets   int           `help:"Targets' records in the fleet." default:"3300"`
-	Services  int           `help:"Services in the fleet." default:"1200"`
-	Window    time.Duration `help:"How long the fleet is measured." default:"20s"`
+	Balancers int           `help:"Number of balancers in the fleet that checks the extrapolation." default:"490"`
+	Targets   int           `help:"Number of records of targets in the fleet." default:"3300"`
+	Services  int           `help:"Number of services in the fleet." default:"1200"`
+	Window    time.Duration `help:"Duration of the fleet measurement." default:"20s"`
 	Idle      float64       `help:"Resident memory of an idle daemon in bytes, as ps shows it." default:"24805376"`
-	Daemons   string        `help:"What bench/daemons printed, for the page."`
-	Write     string        `help:"Folder of the pages; without it the page is printed."`
+	Daemons   string        `help:"File with the output of bench/daemons, for the page."`
+	Write     string        `help:"Directory to write the pages to; printed if empty."`
 }
 
 const (
-	approvals = 8
-	pageMode  = 0o644
+	approvalCount = 8
+	pageMode      = 0o644
 )
 
-// Run measures and writes.
+// Run measures capacity and writes the page.
 func (c *capacityCommand) Run() error {
 	in, err := capacity.Measure(progress)
 	if err != nil {
@@ -38,7 +38,7 @@
 		}
 	}
 	size := capacity.FleetSize{
-		Balancers: c.Balancers, Targets: c.Targets, Services: c.Services, Window: c.Window, Approvals: approvals,
+		Balancers: c.Balancers, Targets: c.Targets, Services: c.Services, Window: c.Window, Approvals: approvalCount,
 	}
 	if in.Fleet, err = capacity.RunFleet(context.Background(), size, progress); err != nil {
 		return err
--- a/cmd/experiment/faults.go
+++ b/cmd/experiment/faults.go
@@ -3,10 +3,10 @@
 import "github.com/wagtailtray/wagtailtray/internal/standin/model"
 
 type faultsCommand struct {
-	Write string `help:"Folder of the page; without it the page is printed."`
+	Write string `help:"Directory to write the page to; printed if empty."`
 }
 
-// Run runs the matrix and writes its page.
+// Run runs the fault matrix and writes its page.
 func (c *faultsCommand) Run() error {
 	page, err := model.FaultPage()
 	if err != nil {
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,6 +1,5 @@
-// Command experiment measures the project on one machine and writes the pages
-// that the measurements belong to. It sends load to loopback only, bounded, and
-// ends by itself.
+// Command experiment measures the project on one machine and writes the results
+// to pages. It sends a bounded load to loopback addresses only, and exits when done.
 //
 // # Usage
 //
@@ -20,13 +19,13 @@
 )
 
 type cli struct {
-	Capacity  capacityCommand  `cmd:"" help:"Measure slopes and work out the page of capacity."`
-	Sweeps    sweepsCommand    `cmd:"" help:"Put sweeps of the users' bench on the page of capacity."`
-	Measures  measuresCommand  `cmd:"" help:"Compare the decisions with baselines."`
-	Openings  openingsCommand  `cmd:"" help:"Open many flows while targets change and count those opened twice."`
-	Approvals approvalsCommand `cmd:"" help:"Measure how long approvals take while something goes wrong."`
+	Capacity  capacityCommand  `cmd:"" help:"Measure resource use per unit of load and write the capacity page."`
+	Sweeps    sweepsCommand    `cmd:"" help:"Add sweeps of the users' bench to the capacity page."`
+	Measures  measuresCommand  `cmd:"" help:"Compare the project's decisions with baselines."`
+	Openings  openingsCommand  `cmd:"" help:"Open many flows while targets change and count those opened at two targets."`
+	Approvals approvalsCommand `cmd:"" help:"Measure how long approvals take during faults."`
 	Faults    faultsCommand    `cmd:"" help:"Run the fault matrix and write its page."`
-	Scenario  scenarioCommand  `cmd:"" help:"Run a scenario of the model and print what the two ends saw."`
+	Scenario  scenarioCommand  `cmd:"" help:"Run a scenario of the model and print the results of both ends."`
 }
 
 func main() {
--- a/cmd/experiment/measures.go
+++ b/cmd/experiment/measures.go
@@ -9,28 +9,28 @@
 )
 
 type measuresCommand struct {
-	Seeds     int    `help:"Seeds, from 1." default:"3"`
-	PerTarget int    `help:"Mean number of open flows of a target." default:"2000"`
-	Workers   int    `help:"Cases that run at a time." default:"6"`
-	Write     string `help:"Folder of the page; without it the page is printed."`
+	Seeds     int    `help:"Number of seeds, starting at 1." default:"3"`
+	PerTarget int    `help:"Mean number of open flows per target." default:"2000"`
+	Workers   int    `help:"Number of cases to run in parallel." default:"6"`
+	Write     string `help:"Directory to write the page to; printed if empty."`
 }
 
-// Run measures and writes.
+// Run compares the algorithms and writes the page.
 func (c *measuresCommand) Run() error {
 	var seeds []uint64
 	for s := range c.Seeds {
 		seeds = append(seeds, uint64(s+1))
 	}
 	rows := measures.Run(measures.Cases(c.PerTarget), seeds, c.Workers, progress)
-	weighed := measures.Weights(c.PerTarget, seeds, c.Workers)
-	return writePage(c.Write, "MEASURES.md", measures.Page(rows, weighed, seeds, c.PerTarget))
+	weights := measures.RunWeights(c.PerTarget, seeds, c.Workers)
+	return writePage(c.Write, "MEASURES.md", measures.Page(rows, weights, seeds, c.PerTarget))
 }
 
-// writePage writes a page into a folder, or prints it.
-func writePage(folder, name, page string) error {
-	if folder == "" {
+// writePage writes a page to a file in dir, or prints it if dir is empty.
+func writePage(dir, name, page string) error {
+	if dir == "" {
 		_, err := fmt.Print(page)
 		return err
 	}
-	return os.WriteFile(filepath.Join(folder, name), []byte(page), pageMode)
+	return os.WriteFile(filepath.Join(dir, name), []byte(page), pageMode)
 }
--- a/cmd/experiment/openings.go
+++ b/cmd/experiment/openings.go
@@ -10,32 +10,32 @@
 )
 
 type openingsCommand struct {
-	Flows   int           `help:"Flows that are opened in all." default:"1000000"`
-	Every   time.Duration `help:"Time between two changes of the targets." default:"5s"`
-	Spread  time.Duration `help:"Longest time that news of a change take." default:"1s"`
-	Workers int           `help:"Worlds that run at a time." default:"7"`
+	Flows   int           `help:"Total number of flows to open." default:"1000000"`
+	Every   time.Duration `help:"Interval between changes of the targets." default:"5s"`
+	Spread  time.Duration `help:"Maximum propagation delay of a change." default:"1s"`
+	Workers int           `help:"Number of simulations to run in parallel." default:"7"`
 }
 
-// flowsAWorld is how many flows one world opens before it ends.
-const flowsAWorld = 20000
+// flowsPerSimulation is the number of flows that one simulation opens.
+const flowsPerSimulation = 20000
 
-// Run opens flows while targets join, drain, restart and are suspected, with
-// resends, and says how many were opened at two targets.
+// Run opens flows, with resends, while targets drain, restart and are suspected,
+// and prints how many were opened at two targets.
 func (c *openingsCommand) Run() error {
-	worlds := max(c.Flows/flowsAWorld, 1)
-	results := make([]measures.Opened, worlds)
+	simulations := max(c.Flows/flowsPerSimulation, 1)
+	results := make([]measures.OpeningsResult, simulations)
 	var group errgroup.Group
 	group.SetLimit(c.Workers)
-	for i := range worlds {
+	for i := range simulations {
 		group.Go(func() error {
-			results[i] = measures.Openings(uint64(i+1), flowsAWorld, c.Every, c.Spread)
+			results[i] = measures.RunOpenings(uint64(i+1), flowsPerSimulation, c.Every, c.Spread)
 			return nil
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	var sum measures.Opened
+	var sum measures.OpeningsResult
 	for _, r := range results {
 		sum.Add(r)
 	}
--- a/cmd/experiment/scenario.go
+++ b/cmd/experiment/scenario.go
@@ -8,10 +8,10 @@
 )
 
 type scenarioCommand struct {
-	File string `arg:"" help:"Scenario; see the documentation of the model's Script."`
+	File string `arg:"" help:"Scenario file; see the documentation of Script in package model."`
 }
 
-// Run runs the scenario.
+// Run runs the scenario and prints its results.
 func (c *scenarioCommand) Run() error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cmd/experiment/sweeps.go
+++ b/cmd/experiment/sweeps.go
@@ -12,11 +12,11 @@
 )
 
 type sweepsCommand struct {
-	Write string   `help:"Folder of the pages." required:""`
-	Logs  []string `arg:"" help:"What the users' bench printed, as NAME=LOG."`
+	Write string   `help:"Directory of the pages." required:""`
+	Logs  []string `arg:"" help:"Outputs of the users' bench, as NAME=LOG."`
 }
 
-// Run replaces the sweeps of the page of capacity.
+// Run replaces the sweeps on the capacity page.
 func (c *sweepsCommand) Run() error {
 	var in capacity.Inputs
 	if err := readJSON(filepath.Join(c.Write, "capacity.json"), &in); err != nil {
@@ -46,14 +46,14 @@
 	return capacity.ParseSweep(name, log)
 }
 
-// writeCapacity writes the page of capacity and what it was made from.
-func writeCapacity(folder string, in *capacity.Inputs) error {
+// writeCapacity writes the capacity page and the inputs that it is made from.
+func writeCapacity(dir string, in *capacity.Inputs) error {
 	data, err := json.MarshalIndent(in, "", " ")
 	if err != nil {
 		return errs.Wrap(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, "capacity.json"), append(data, '\n'), pageMode); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "capacity.json"), append(data, '\n'), pageMode); err != nil {
 		return errs.Wrap(err)
 	}
-	return writePage(folder, "CAPACITY.md", capacity.Page(in))
+	return writePage(dir, "CAPACITY.md", capacity.Page(in))
 }
--- a/internal/measures/baseline.go
+++ b/internal/measures/baseline.go
@@ -10,37 +10,37 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Baseline is another way to choose and find a flow's target.
+// Baseline is another algorithm that chooses and finds the target of a flow.
 type Baseline string
 
 // Baselines.
 const (
-	// Hashing sends each datagram where consistent hashing over the present
-	// targets says, and remembers nothing.
+	// Hashing sends each datagram by consistent hashing over the current targets
+	// and keeps no state.
 	Hashing Baseline = "hashing by version"
-	// Previous asks the target of the previous version as second chance.
-	Previous Baseline = "hashing, one previous version"
-	// Random and Least choose at the opening, and the balancer that did it
-	// remembers; its flows stay with it and are lost with it.
-	Random Baseline = "random choice"
-	Least  Baseline = "least reported load"
+	// HashingWithPrevious also tries the target of the previous version.
+	HashingWithPrevious Baseline = "hashing, one previous version"
+	// RandomChoice and LeastLoad choose when a flow opens. The balancer that chose
+	// keeps the flow in memory; its flows are lost with it.
+	RandomChoice Baseline = "random choice"
+	LeastLoad    Baseline = "least reported load"
 )
 
-// AllBaselines lists them in the order of the page.
-var AllBaselines = []Baseline{Hashing, Previous, Random, Least}
+// AllBaselines lists the baselines in the order of the page.
+var AllBaselines = []Baseline{Hashing, HashingWithPrevious, RandomChoice, LeastLoad}
 
-// baseline runs one way without delays, losses or late news.
-type baseline struct {
+// baselineSim simulates one baseline without delay, loss or stale state.
+type baselineSim struct {
 	timeline.Timeline
-	way      Baseline
-	random   *rand.Rand
-	targets  []bool // takes openings
-	reported []int
-	open     []map[uint64]*flow
-	previous []bool
-	next     uint64
-	result   Result
-	lie      bool
+	algorithm    Baseline
+	random       *rand.Rand
+	accepting    []bool // by target: accepts new flows
+	reportedLoad []int
+	openFlows    []map[uint64]*flow
+	previous     []bool
+	lastID       uint64
+	result       Result
+	falseReports bool
 }
 
 // flow is one open flow of a baseline.
@@ -52,83 +52,86 @@
 }
 
 // RunBaseline runs a baseline on a case.
-func RunBaseline(way Baseline, c Case, seed uint64) Result {
-	b := &baseline{way: way, random: rand.New(rand.NewPCG(seed, 7)), lie: c.Scenario == Lies, result: Result{Case: c, Way: string(way)}}
+func RunBaseline(algorithm Baseline, c Case, seed uint64) Result {
+	b := &baselineSim{algorithm: algorithm, random: rand.New(rand.NewPCG(seed, 7)), falseReports: c.Scenario == FalseReports, result: Result{Case: c, Algorithm: string(algorithm)}}
 	for range c.Targets {
-		b.targets = append(b.targets, true)
-		b.reported = append(b.reported, 0)
-		b.open = append(b.open, map[uint64]*flow{})
+		b.accepting = append(b.accepting, true)
+		b.reportedLoad = append(b.reportedLoad, 0)
+		b.openFlows = append(b.openFlows, map[uint64]*flow{})
 	}
-	b.previous = append([]bool(nil), b.targets...)
-	lengths := model.NewLengths(model.Load{PerTarget: c.PerTarget, Mean: mean, Sigma: sigma}, seed)
+	b.previous = append([]bool(nil), b.accepting...)
+	lengths := model.NewLengths(model.Load{PerTarget: c.PerTarget, Mean: meanFlowLength, Sigma: flowLengthSigma}, seed)
 	for range c.PerTarget * c.Targets {
-		b.start(lengths.Remaining())
+		b.openFlow(lengths.Remaining())
 	}
-	b.Every(c.Digest, b.report)
-	b.arrive(lengths, c.Targets)
-	b.Run(settle)
-	plan(c.Scenario, b, c.Targets)
+	b.Every(c.DigestInterval, b.reportLoad)
+	b.scheduleArrivals(lengths, c.Targets)
+	b.Run(settleTime)
+	scheduleScenario(c.Scenario, b, c.Targets)
 	var balance model.Balance
-	for range sampled / sampleGap {
-		b.Run(sampleGap)
-		balance.Add(b.conns())
+	for range sampleTime / sampleInterval {
+		b.Run(sampleInterval)
+		balance.Add(b.flowCounts())
 	}
-	b.result.Ratio, b.result.Variation, b.result.Hops = balance.Ratio(), balance.Variation(), 1
+	b.result.Imbalance, b.result.Variation, b.result.HopsPerDatagram = balance.Ratio(), balance.Variation(), 1
 	return b.result
 }
 
-func (b *baseline) after(d clock.Millis, do func()) {
+func (b *baselineSim) schedule(d clock.Millis, do func()) {
 	b.After(d, do)
 }
 
-func (b *baseline) arrive(l *model.Lengths, targets int) {
-	b.after(clock.Millis(l.Gap(targets)+b.random.Float64()), func() {
-		b.start(l.Draw())
-		b.arrive(l, targets)
+// scheduleArrivals opens flows at random intervals.
+func (b *baselineSim) scheduleArrivals(l *model.Lengths, targets int) {
+	b.schedule(clock.Millis(l.Gap(targets)+b.random.Float64()), func() {
+		b.openFlow(l.Draw())
+		b.scheduleArrivals(l, targets)
 	})
 }
 
-func (b *baseline) start(length clock.Millis) {
-	b.next++
+func (b *baselineSim) openFlow(length clock.Millis) {
+	b.lastID++
 	b.result.Flows++
-	f := &flow{id: b.next, balancer: b.random.IntN(balancers)}
-	f.owner = b.choose(f.id)
+	f := &flow{id: b.lastID, balancer: b.random.IntN(balancerCount)}
+	f.owner = b.chooseTarget(f.id)
 	if f.owner < 0 {
 		return
 	}
-	b.open[f.owner][f.id] = f
-	b.after(length, func() { delete(b.open[f.owner], f.id) })
+	b.openFlows[f.owner][f.id] = f
+	b.schedule(length, func() { delete(b.openFlows[f.owner], f.id) })
 }
 
-func (b *baseline) choose(id uint64) int {
-	switch b.way {
-	case Random:
-		return b.pick(func(int) float64 { return b.random.Float64() })
-	case Least:
-		return b.pick(func(i int) float64 { return -float64(b.reported[i]) - b.random.Float64() })
+func (b *baselineSim) chooseTarget(id uint64) int {
+	switch b.algorithm {
+	case RandomChoice:
+		return b.highestScore(func(int) float64 { return b.random.Float64() })
+	case LeastLoad:
+		return b.highestScore(func(i int) float64 { return -float64(b.reportedLoad[i]) - b.random.Float64() })
 	default:
-		return b.hashed(b.targets, id)
+		return b.hashTarget(b.accepting, id)
 	}
 }
 
-// pick returns the target that takes flows with the highest value.
-func (b *baseline) pick(value func(int) float64) int {
+// highestScore returns the target with the highest score among those that accept
+// flows, or -1.
+func (b *baselineSim) highestScore(score func(int) float64) int {
 	best, high := -1, 0.0
-	for i, takes := range b.targets {
-		if !takes {
+	for i, accepts := range b.accepting {
+		if !accepts {
 			continue
 		}
-		if v := value(i); best < 0 || v > high {
+		if v := score(i); best < 0 || v > high {
 			best, high = i, v
 		}
 	}
 	return best
 }
 
-func (b *baseline) hashed(targets []bool, id uint64) int {
+// hashTarget returns the target with the highest hash for the flow, or -1.
+func (b *baselineSim) hashTarget(targets []bool, id uint64) int {
 	best, high := -1, uint64(0)
-	for i, takes := range targets {
-		if !takes {
+	for i, accepts := range targets {
+		if !accepts {
 			continue
 		}
 		if v := xxh3.HashSeed([]byte{byte(id), byte(id >> 8), byte(id >> 16), byte(id >> 24)}, uint64(i)); best < 0 || v > high {
@@ -138,25 +141,25 @@
 	return best
 }
 
-func (b *baseline) report() bool {
-	for i := range b.open {
-		b.reported[i] = len(b.open[i])
-		if b.lie && i%2 == 1 {
-			b.reported[i] = 0
+func (b *baselineSim) reportLoad() bool {
+	for i := range b.openFlows {
+		b.reportedLoad[i] = len(b.openFlows[i])
+		if b.falseReports && i%2 == 1 {
+			b.reportedLoad[i] = 0
 		}
 	}
 	return true
 }
 
-// changed looks which open flows are still found after the targets changed.
-func (b *baseline) changed(before []bool) {
-	if b.way == Hashing || b.way == Previous {
-		for i := range b.open {
-			for _, f := range b.open[i] {
-				found := b.hashed(b.targets, f.id) == f.owner ||
-					b.way == Previous && b.hashed(before, f.id) == f.owner
+// targetsChanged breaks the open flows that are no longer found after a change of the targets.
+func (b *baselineSim) targetsChanged(before []bool) {
+	if b.algorithm == Hashing || b.algorithm == HashingWithPrevious {
+		for i := range b.openFlows {
+			for _, f := range b.openFlows[i] {
+				found := b.hashTarget(b.accepting, f.id) == f.owner ||
+					b.algorithm == HashingWithPrevious && b.hashTarget(before, f.id) == f.owner
 				if !found && !f.broken {
-					b.lose(f)
+					b.breakFlow(f)
 				}
 			}
 		}
@@ -164,66 +167,66 @@
 	b.previous = before
 }
 
-func (b *baseline) lose(f *flow) {
+func (b *baselineSim) breakFlow(f *flow) {
 	f.broken = true
 	b.result.Broken++
-	delete(b.open[f.owner], f.id)
+	delete(b.openFlows[f.owner], f.id)
 }
 
-func (b *baseline) set(target int, takes bool) {
-	before := append([]bool(nil), b.targets...)
-	b.targets[target] = takes
-	b.changed(before)
+func (b *baselineSim) setAccepting(target int, accepts bool) {
+	before := append([]bool(nil), b.accepting...)
+	b.accepting[target] = accepts
+	b.targetsChanged(before)
 }
 
-func (b *baseline) drain(target int, on bool) {
-	b.set(target, !on)
+func (b *baselineSim) drain(target int, on bool) {
+	b.setAccepting(target, !on)
 }
 
-func (b *baseline) replace(target int) {
-	b.set(target, true)
+func (b *baselineSim) replace(target int) {
+	b.setAccepting(target, true)
 }
 
-func (b *baseline) restartBalancer(n int) {
-	if b.way != Random && b.way != Least {
+func (b *baselineSim) restartBalancer(n int) {
+	if b.algorithm != RandomChoice && b.algorithm != LeastLoad {
 		return
 	}
-	for i := range b.open {
-		for _, f := range b.open[i] {
+	for i := range b.openFlows {
+		for _, f := range b.openFlows[i] {
 			if f.balancer == n {
-				b.lose(f)
+				b.breakFlow(f)
 			}
 		}
 	}
 }
 
-func (b *baseline) kill(target int) {
-	b.result.Dead = len(b.open[target])
-	for _, f := range b.open[target] {
-		b.lose(f)
+func (b *baselineSim) kill(target int) {
+	b.result.CrashLosses = len(b.openFlows[target])
+	for _, f := range b.openFlows[target] {
+		b.breakFlow(f)
 	}
-	b.set(target, false)
+	b.setAccepting(target, false)
 }
 
-func (b *baseline) add() {
-	before := append([]bool(nil), b.targets...)
-	b.targets = append(b.targets, true)
-	b.reported = append(b.reported, 0)
-	b.open = append(b.open, map[uint64]*flow{})
-	b.changed(before)
+func (b *baselineSim) addTarget() {
+	before := append([]bool(nil), b.accepting...)
+	b.accepting = append(b.accepting, true)
+	b.reportedLoad = append(b.reportedLoad, 0)
+	b.openFlows = append(b.openFlows, map[uint64]*flow{})
+	b.targetsChanged(before)
 }
 
-func (b *baseline) burst(flows int) {
+func (b *baselineSim) burst(flows int) {
 	for range flows {
-		b.start(mean)
+		b.openFlow(meanFlowLength)
 	}
 }
 
-func (b *baseline) conns() []int {
+func (b *baselineSim) flowCounts() []int {
 	var all []int
-	for i, takes := range b.targets {
-		if takes {
-			all = append(all, len(b.open[i]))
+	for i, accepts := range b.accepting {
+		if accepts {
+			all = append(all, len(b.openFlows[i]))
 		}
 	}
 	return all
--- a/internal/measures/hops.go
+++ b/internal/measures/hops.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// chattyFlows is the flows of a target that send all the time.
-	chattyFlows = 40
-	// chattyTime is how long they do: 150 datagrams each.
-	chattyTime = clock.Minute
+	// continuousFlows is the number of flows per target that send continuously.
+	continuousFlows = 40
+	// continuousTime is how long they send: 150 datagrams each.
+	continuousTime = clock.Minute
 )
 
-// Chatty is where the datagrams of flows that send all the time went.
-type Chatty struct {
+// HopsResult counts how the datagrams of continuously sending flows were routed.
+type HopsResult struct {
 	Case      Case
 	Balancers int
-	// Straight datagrams reached their owner without another agent between.
-	Datagrams, Straight int
-	// Extra is the mean number of agents between.
-	Extra float64
+	// Direct datagrams reached their owner without passing another agent.
+	Datagrams, Direct int
+	// MeanExtraHops is the mean number of other agents that a datagram passed.
+	MeanExtraHops float64
 }
 
-// Hops runs a service with flows that send all the time, opening ones included.
-func Hops(c Case, balancers int, seed uint64) Chatty {
+// RunHops runs a service with flows that send continuously; it counts opening datagrams too.
+func RunHops(c Case, balancers int, seed uint64) HopsResult {
 	w := model.New(model.Options{
-		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001, Digest: c.Digest,
+		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001, Digest: c.DigestInterval,
 	})
-	out := Chatty{Case: c, Balancers: balancers}
+	out := HopsResult{Case: c, Balancers: balancers}
 	passed := map[uint64]int{}
 	passes := 0
 	w.Trace = func(h model.Hop) {
@@ -42,31 +42,31 @@
 		case owner.Deliver:
 			out.Datagrams++
 			if passed[h.Flow] == 0 {
-				out.Straight++
+				out.Direct++
 			}
 			passed[h.Flow] = 0
 		case owner.Drop, owner.Refuse:
 		}
 	}
-	for range c.Targets * chattyFlows {
+	for range c.Targets * continuousFlows {
 		w.Open(0)
 		w.Run(10)
 	}
-	w.Run(chattyTime)
-	out.Extra = float64(passes) / float64(max(out.Datagrams, 1))
+	w.Run(continuousTime)
+	out.MeanExtraHops = float64(passes) / float64(max(out.Datagrams, 1))
 	return out
 }
 
-// hopsTable writes the hops of every service.
-func hopsTable(b *strings.Builder, rows []Row, seed uint64) {
-	fmt.Fprintf(b, "\n## Hops of flows that send all the time\n\n%d flows a target, 150 datagrams each, over 6 and over 24 balancers. A balancer learns a flow's owner\nfrom its first datagram there; until then it walks.\n\n| deployment, service | balancers | straight to the owner | mean extra hops a datagram |\n| --- | --- | --- | --- |\n", chattyFlows)
+// writeHops writes the table of hops of every service.
+func writeHops(b *strings.Builder, rows []Row, seed uint64) {
+	fmt.Fprintf(b, "\n## Hops of flows that send all the time\n\n%d flows a target, 150 datagrams each, over 6 and over 24 balancers. A balancer learns a flow's owner\nfrom its first datagram there; until then it walks.\n\n| deployment, service | balancers | straight to the owner | mean extra hops a datagram |\n| --- | --- | --- | --- |\n", continuousFlows)
 	for _, r := range rows {
 		if r.Case.Scenario != Steady {
 			continue
 		}
-		for _, n := range []int{balancers, 4 * balancers} {
-			h := Hops(r.Case, n, seed)
-			fmt.Fprintf(b, "| %s, %s | %d | %.1f %% | %.3f |\n", h.Case.Deployment, h.Case.Service, n, 100*float64(h.Straight)/float64(max(h.Datagrams, 1)), h.Extra)
+		for _, n := range []int{balancerCount, 4 * balancerCount} {
+			h := RunHops(r.Case, n, seed)
+			fmt.Fprintf(b, "| %s, %s | %d | %.1f %% | %.3f |\n", h.Case.Deployment, h.Case.Service, n, 100*float64(h.Direct)/float64(max(h.Datagrams, 1)), h.MeanExtraHops)
 		}
 	}
 	b.WriteString("\nThe median is 0 wherever more than half go straight.\n")
--- a/internal/measures/measures.go
+++ b/internal/measures/measures.go
@@ -1,17 +1,18 @@
 // Package measures compares the project's decisions with baselines on the same
-// work: how many flows break, and how evenly open flows lie on the targets.
+// load: how many flows break, and how evenly open flows are balanced over the targets.
 //
 // # The model
 //
 // A Case is a service of a deployment and a scenario. The project's own
-// decisions run in a model world with delays, jitter, loss and late news. The
-// baselines are given the better of it: they see every change at once, and no
-// datagram of theirs is lost.
+// decisions run in a simulation with delay, jitter, loss and late updates. The
+// comparison favours the baselines: they see every change at once and lose no
+// datagram.
 //
 // # Usage
 //
-//	results, err := measures.Run(measures.Cases(), seeds, progress)
-//	page := measures.Page(results)
+//	rows := measures.Run(measures.Cases(perTarget), seeds, workers, progress)
+//	weights := measures.RunWeights(perTarget, seeds, workers)
+//	page := measures.Page(rows, weights, seeds, perTarget)
 package measures
 
 import (
@@ -20,22 +21,22 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Scenario is what happens to a service.
+// Scenario is the change or fault that a service is exposed to.
 type Scenario string
 
 // Scenarios.
 const (
-	Steady    Scenario = "steady"
-	Targets   Scenario = "targets replaced"
-	Balancers Scenario = "balancers replaced"
-	Both      Scenario = "both replaced"
-	Death     Scenario = "sudden death"
-	Lies      Scenario = "lying reports"
-	Burst     Scenario = "burst on a cold target"
+	Steady            Scenario = "steady"
+	TargetsReplaced   Scenario = "targets replaced"
+	BalancersReplaced Scenario = "balancers replaced"
+	BothReplaced      Scenario = "both replaced"
+	TargetCrash       Scenario = "sudden death"
+	FalseReports      Scenario = "lying reports"
+	Burst             Scenario = "burst on a cold target"
 )
 
-// Scenarios lists them in the order of the page.
-var Scenarios = []Scenario{Steady, Targets, Balancers, Both, Death, Lies, Burst}
+// Scenarios lists the scenarios in the order of the page.
+var Scenarios = []Scenario{Steady, TargetsReplaced, BalancersReplaced, BothReplaced, TargetCrash, FalseReports, Burst}
 
 // Case is one service under one scenario.
 type Case struct {
@@ -44,33 +45,33 @@
 	Scenario   Scenario
 	Targets    int
 	// PerTarget is the mean number of open flows of a target.
-	PerTarget int
-	Delay     clock.Millis
-	Digest    clock.Millis
+	PerTarget      int
+	Delay          clock.Millis
+	DigestInterval clock.Millis
 }
 
-// Sizes of the work. Flows are as many as the brief's; they are shorter, so
-// that several generations fit into a run, and the digests' interval is the
-// products' own, which makes balancing harder than it will be.
+// Parameters of the load. The number of flows is as required; the flows are shorter
+// than real ones, so that several generations fit into a run. As the digest interval
+// is the one of production, balancing is harder here than it will be there.
 const (
-	mean      = 120 * clock.Second
-	sigma     = 1.5
-	settle    = 2 * clock.Minute
-	sampled   = 4 * clock.Minute
-	sampleGap = clock.Second
-	balancers = 6
-	spread    = 500 * clock.Millis(1)
-	ramp      = 10 * clock.Second
+	meanFlowLength      = 120 * clock.Second
+	flowLengthSigma     = 1.5
+	settleTime          = 2 * clock.Minute
+	sampleTime          = 4 * clock.Minute
+	sampleInterval      = clock.Second
+	balancerCount       = 6
+	maxPropagationDelay = 500 * clock.Millis(1)
+	rampTime            = 10 * clock.Second
 )
 
 // Cases returns the services of both deployments under every scenario.
 func Cases(perTarget int) []Case {
 	var all []Case
 	services := []Case{
-		{Deployment: "valuvorm", Service: "quote-session", Targets: 7, Delay: 3, Digest: 500},
-		{Deployment: "valuvorm", Service: "drawing-export", Targets: 3, Delay: 3, Digest: 500},
-		{Deployment: "porto", Service: "atelier", Targets: 7, Delay: 5, Digest: 250},
-		{Deployment: "porto", Service: "vitrine", Targets: 3, Delay: 5, Digest: 250},
+		{Deployment: "valuvorm", Service: "quote-session", Targets: 7, Delay: 3, DigestInterval: 500},
+		{Deployment: "valuvorm", Service: "drawing-export", Targets: 3, Delay: 3, DigestInterval: 500},
+		{Deployment: "porto", Service: "atelier", Targets: 7, Delay: 5, DigestInterval: 250},
+		{Deployment: "porto", Service: "vitrine", Targets: 3, Delay: 5, DigestInterval: 250},
 	}
 	for _, s := range services {
 		for _, scenario := range Scenarios {
@@ -81,102 +82,102 @@
 	return all
 }
 
-// Result is what one way of choosing gave in one case and one run.
+// Result is the outcome of one algorithm in one case and one run.
 type Result struct {
-	Case Case
-	Way  string
-	// Broken flows of Flows; Dead is how many a dead target took with it,
-	// which no way can save.
-	Flows, Broken, Dead int
-	Ratio, Variation    float64
-	// Hops is the tunnel datagrams for each datagram of a caller.
-	Hops float64
+	Case      Case
+	Algorithm string
+	// Broken counts the broken flows of Flows, CrashLosses those lost with a
+	// crashed target, which no algorithm can save.
+	Flows, Broken, CrashLosses int
+	Imbalance, Variation       float64
+	// HopsPerDatagram is the number of tunnel datagrams per datagram of a caller.
+	HopsPerDatagram float64
 	// Doubled flows were opened at two targets.
 	Doubled int
 }
 
-// Ours is the name of the project's own way.
-const Ours = "wagtailtray"
+// Wagtailtray is the name of the project's own algorithm.
+const Wagtailtray = "wagtailtray"
 
-// RunOurs runs the project's decisions.
-func RunOurs(c Case, seed uint64) Result {
+// RunWagtailtray simulates the project's own algorithm.
+func RunWagtailtray(c Case, seed uint64) Result {
 	w := model.New(model.Options{
-		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001,
-		Spread: spread, Digest: c.Digest, Quiet: true, Ramp: ramp, Lie: c.Scenario == Lies,
+		Seed: seed, Targets: c.Targets, Balancers: balancerCount, Delay: c.Delay, Jitter: 2, Loss: 0.001,
+		Spread: maxPropagationDelay, Digest: c.DigestInterval, Quiet: true, Ramp: rampTime, Lie: c.Scenario == FalseReports,
 	})
-	g := model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: mean, Sigma: sigma})
-	w.Run(settle)
-	dead := 0
-	plan(c.Scenario, &worldChanges{world: w, generator: g, dead: &dead}, c.Targets)
+	g := model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: meanFlowLength, Sigma: flowLengthSigma})
+	w.Run(settleTime)
+	crashLosses := 0
+	scheduleScenario(c.Scenario, &modelActions{world: w, generator: g, crashLosses: &crashLosses}, c.Targets)
 	var b model.Balance
-	for range sampled / sampleGap {
-		w.Run(sampleGap)
+	for range sampleTime / sampleInterval {
+		w.Run(sampleInterval)
 		b.Add(w.Conns())
 	}
 	v := w.Verdict()
 	return Result{
-		Case: c, Way: Ours, Flows: v.Flows, Broken: dead + w.Stranded(), Dead: dead, Ratio: b.Ratio(), Variation: b.Variation(),
-		Hops: float64(w.Hops) / float64(max(w.Datagrams, 1)), Doubled: v.Doubled,
+		Case: c, Algorithm: Wagtailtray, Flows: v.Flows, Broken: crashLosses + w.Stranded(), CrashLosses: crashLosses, Imbalance: b.Ratio(), Variation: b.Variation(),
+		HopsPerDatagram: float64(w.Hops) / float64(max(w.Datagrams, 1)), Doubled: v.Doubled,
 	}
 }
 
-// refilled is the imbalance below which a target that joined counts as filled.
-const refilled = 1.02
+// refillThreshold is the imbalance below which a joined target counts as filled.
+const refillThreshold = 1.02
 
-// Refill returns how long it takes, in mean lengths of a flow, until the
-// imbalance is low again after an empty, warm target has joined, and how long it
-// would take if every new flow went there and none of its own ended.
-func Refill(c Case, seed uint64) (took, least float64) {
+// MeasureRefill returns the time, in mean flow lengths, until the imbalance is low
+// again after an empty, warm target has joined, and the minimum time: if every new
+// flow went there and none of its own ended.
+func MeasureRefill(c Case, seed uint64) (took, minimum float64) {
 	w := model.New(model.Options{
-		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001,
-		Spread: spread, Digest: c.Digest, Quiet: true,
+		Seed: seed, Targets: c.Targets, Balancers: balancerCount, Delay: c.Delay, Jitter: 2, Loss: 0.001,
+		Spread: maxPropagationDelay, Digest: c.DigestInterval, Quiet: true,
 	})
-	model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: mean, Sigma: sigma})
-	w.Run(settle)
+	model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: meanFlowLength, Sigma: flowLengthSigma})
+	w.Run(settleTime)
 	w.Add("joined")
-	// It opens flows from the end of its joining on.
+	// The target opens no flows while it is joining.
 	w.Run(owner.NewsLag)
 	start := w.Now()
-	for w.Now().Sub(start) < 2*mean {
-		w.Run(sampleGap)
+	for w.Now().Sub(start) < 2*meanFlowLength {
+		w.Run(sampleInterval)
 		var b model.Balance
 		b.Add(w.Conns())
-		if b.Ratio() < refilled {
+		if b.Ratio() < refillThreshold {
 			break
 		}
 	}
-	return float64(w.Now().Sub(start)) / float64(mean), 1 / float64(c.Targets+1)
+	return float64(w.Now().Sub(start)) / float64(meanFlowLength), 1 / float64(c.Targets+1)
 }
 
-// changes is what a scenario does, to a world or to a baseline.
-type changes interface {
-	after(d clock.Millis, do func())
+// scenarioActions applies the changes of a scenario to the model or to a baseline.
+type scenarioActions interface {
+	schedule(d clock.Millis, do func())
 	drain(target int, on bool)
-	// replace puts an empty target in the place of a drained one.
+	// replace restarts a drained target and ends its drain.
 	replace(target int)
 	restartBalancer(n int)
 	kill(target int)
-	// add lets an empty, cold target join.
-	add()
+	// addTarget adds an empty, cold target.
+	addTarget()
 	burst(flows int)
 }
 
-// plan schedules a scenario's changes over the sampled time.
-func plan(s Scenario, c changes, targets int) {
-	step := sampled / clock.Millis(targets+1)
+// scheduleScenario schedules the changes of a scenario over the sample time.
+func scheduleScenario(s Scenario, c scenarioActions, targets int) {
+	step := sampleTime / clock.Millis(targets+1)
 	switch s {
-	case Targets:
+	case TargetsReplaced:
 		rollTargets(c, targets, step)
-	case Balancers:
+	case BalancersReplaced:
 		rollBalancers(c, step)
-	case Both:
+	case BothReplaced:
 		rollTargets(c, targets, step)
 		rollBalancers(c, step)
-	case Death:
-		c.after(step, func() { c.kill(0) })
+	case TargetCrash:
+		c.schedule(step, func() { c.kill(0) })
 	case Burst:
-		c.after(step, func() {
-			c.add()
+		c.schedule(step, func() {
+			c.addTarget()
 			c.burst(burstFlows)
 		})
 	}
@@ -184,17 +185,17 @@
 
 const burstFlows = 500
 
-// rollTargets drains one target after the other, restarts its agent in the
-// middle of the drain, and lets it serve again.
-func rollTargets(c changes, targets int, step clock.Millis) {
+// rollTargets drains the targets one after the other, restarts each agent in the
+// middle of its drain, and ends the drain.
+func rollTargets(c scenarioActions, targets int, step clock.Millis) {
 	for i := range targets {
-		c.after(clock.Millis(i)*step, func() { c.drain(i, true) })
-		c.after(clock.Millis(i)*step+step/2, func() { c.replace(i) })
+		c.schedule(clock.Millis(i)*step, func() { c.drain(i, true) })
+		c.schedule(clock.Millis(i)*step+step/2, func() { c.replace(i) })
 	}
 }
 
-func rollBalancers(c changes, step clock.Millis) {
-	for i := range balancers {
-		c.after(clock.Millis(i)*step, func() { c.restartBalancer(i) })
+func rollBalancers(c scenarioActions, step clock.Millis) {
+	for i := range balancerCount {
+		c.schedule(clock.Millis(i)*step, func() { c.restartBalancer(i) })
 	}
 }
--- a/internal/measures/openings.go
+++ b/internal/measures/openings.go
@@ -8,14 +8,14 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Opened is what a run of openings gave.
-type Opened struct {
+// OpeningsResult counts the outcomes of a run of RunOpenings.
+type OpeningsResult struct {
 	Flows, Resends, Changes               int
 	Doubled, RanRefused, Broken, Unopened int
 }
 
-// Add sums two runs up.
-func (o *Opened) Add(r Opened) {
+// Add adds the counts of r to o.
+func (o *OpeningsResult) Add(r OpeningsResult) {
 	o.Flows += r.Flows
 	o.Resends += r.Resends
 	o.Changes += r.Changes
@@ -25,35 +25,35 @@
 	o.Unopened += r.Unopened
 }
 
-// Sizes of a world of openings: seven targets, flows of a few seconds, and a
-// copy of every tenth opening that its caller sends soon after the first.
+// Parameters of RunOpenings: seven targets, flows of a few seconds, and a resend
+// of every tenth opening soon after the first.
 const (
-	openTargets   = 7
-	openBalancers = 6
-	openGap       = 4
-	openLength    = 4 * clock.Second
-	resendEvery   = 10
+	openTargets    = 7
+	openBalancers  = 6
+	openInterval   = 4
+	openFlowLength = 4 * clock.Second
+	resendEvery    = 10
 )
 
-// Openings opens flows while targets change.
-func Openings(seed uint64, flows int, every, spread time.Duration) Opened {
+// RunOpenings opens flows while targets change.
+func RunOpenings(seed uint64, flows int, every, spread time.Duration) OpeningsResult {
 	w := model.New(model.Options{
 		Seed: seed, Targets: openTargets, Balancers: openBalancers, Jitter: 5, Loss: 0.001, Duplicate: 0.001, Spread: clock.Of(spread),
 	})
 	random := rand.New(rand.NewPCG(seed, 11))
-	out := Opened{Flows: flows}
+	out := OpeningsResult{Flows: flows}
 	next := w.Now() + clock.Of(every)
 	for i := range flows {
-		c := w.Open(openLength)
+		c := w.Open(openFlowLength)
 		if i%resendEvery == 0 {
 			w.After(clock.Millis(random.IntN(1500)), func() { c.ResendUnopened() })
 			out.Resends++
 		}
-		w.Run(openGap)
+		w.Run(openInterval)
 		if w.Now() >= next {
 			next += clock.Of(every)
 			out.Changes++
-			change(w, random)
+			randomChange(w, random)
 		}
 	}
 	w.Run(20 * clock.Second)
@@ -62,10 +62,10 @@
 	return out
 }
 
-// change makes one planned change or a false suspicion at one target, and takes
-// it back at its next turn.
-func change(w *model.World, random *rand.Rand) {
-	t := name(random.IntN(openTargets))
+// randomChange drains, restarts or falsely suspects a random target. A drain ends
+// after three seconds, a suspicion after two.
+func randomChange(w *model.World, random *rand.Rand) {
+	t := targetName(random.IntN(openTargets))
 	switch random.IntN(3) {
 	case 0:
 		w.Drain(t, true)
--- a/internal/measures/page.go
+++ b/internal/measures/page.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Run runs all cases with all seeds, a few at a time.
+// Run runs all cases with all seeds on the given number of workers.
 func Run(cases []Case, seeds []uint64, workers int, progress func(string, ...any)) []Row {
 	rows := make([]Row, len(cases))
 	var group errgroup.Group
@@ -23,108 +23,109 @@
 	return rows
 }
 
-// Row is one case, each way as the mean over the seeds.
+// Row is the mean over the seeds of each algorithm's results in one case.
 type Row struct {
-	Case Case
-	Ways []Result
-	// Refill and Least are Refill's results, for the steady case.
-	Refill, Least float64
+	Case    Case
+	Results []Result
+	// RefillTime and MinRefillTime are the results of MeasureRefill, for the steady case.
+	RefillTime, MinRefillTime float64
 }
 
 func runCase(c Case, seeds []uint64) Row {
 	r := Row{Case: c}
 	all := make([][]Result, 1+len(AllBaselines))
 	for _, seed := range seeds {
-		all[0] = append(all[0], RunOurs(c, seed))
+		all[0] = append(all[0], RunWagtailtray(c, seed))
 		for i, b := range AllBaselines {
 			all[i+1] = append(all[i+1], RunBaseline(b, c, seed))
 		}
 	}
 	if c.Scenario == Steady {
 		for _, seed := range seeds {
-			took, least := Refill(c, seed)
-			r.Refill += took / float64(len(seeds))
-			r.Least = least
+			took, minimum := MeasureRefill(c, seed)
+			r.RefillTime += took / float64(len(seeds))
+			r.MinRefillTime = minimum
 		}
 	}
 	for _, results := range all {
-		r.Ways = append(r.Ways, mean1(results))
+		r.Results = append(r.Results, averageResults(results))
 	}
 	return r
 }
 
-// mean1 averages the runs of one way; flows are summed.
-func mean1(results []Result) Result {
+// averageResults averages the runs of one algorithm; counts of flows are summed.
+func averageResults(results []Result) Result {
 	out := results[0]
 	for _, r := range results[1:] {
 		out.Flows += r.Flows
 		out.Broken += r.Broken
-		out.Dead += r.Dead
+		out.CrashLosses += r.CrashLosses
 		out.Doubled += r.Doubled
-		out.Ratio += r.Ratio
+		out.Imbalance += r.Imbalance
 		out.Variation += r.Variation
-		out.Hops += r.Hops
+		out.HopsPerDatagram += r.HopsPerDatagram
 	}
 	n := float64(len(results))
-	out.Ratio /= n
+	out.Imbalance /= n
 	out.Variation /= n
-	out.Hops /= n
+	out.HopsPerDatagram /= n
 	return out
 }
 
-// Page writes the results.
-func Page(rows []Row, weighed []Weighed, seeds []uint64, perTarget int) string {
+// Page renders the results in Markdown.
+func Page(rows []Row, weights []WeightResult, seeds []uint64, perTarget int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, intro, perTarget, mean.Duration(), sigma, settle.Duration(), sampled.Duration(), len(seeds))
+	fmt.Fprintf(&b, intro, perTarget, meanFlowLength.Duration(), flowLengthSigma, settleTime.Duration(), sampleTime.Duration(), len(seeds))
 	for _, measure := range []struct {
 		title string
 		value func(Result) string
 	}{
-		{"Flows broken, less those of a dead target", func(r Result) string { return fmt.Sprintf("%d", r.Broken-r.Dead) }},
-		{"Imbalance: mean of the maximum over the mean of open flows", func(r Result) string { return fmt.Sprintf("%.4f", r.Ratio) }},
+		{"Flows broken, less those of a dead target", func(r Result) string { return fmt.Sprintf("%d", r.Broken-r.CrashLosses) }},
+		{"Imbalance: mean of the maximum over the mean of open flows", func(r Result) string { return fmt.Sprintf("%.4f", r.Imbalance) }},
 		{"Mean coefficient of variation of open flows", func(r Result) string { return fmt.Sprintf("%.4f", r.Variation) }},
 	} {
-		fmt.Fprintf(&b, "## %s\n\n| deployment, service | scenario | %s |", measure.title, Ours)
-		for _, w := range AllBaselines {
-			fmt.Fprintf(&b, " %s |", w)
+		fmt.Fprintf(&b, "## %s\n\n| deployment, service | scenario | %s |", measure.title, Wagtailtray)
+		for _, baseline := range AllBaselines {
+			fmt.Fprintf(&b, " %s |", baseline)
 		}
 		b.WriteString("\n| --- | --- |" + strings.Repeat(" --- |", 1+len(AllBaselines)) + "\n")
 		for _, r := range rows {
 			fmt.Fprintf(&b, "| %s, %s | %s |", r.Case.Deployment, r.Case.Service, r.Case.Scenario)
-			for _, w := range r.Ways {
-				fmt.Fprintf(&b, " %s |", measure.value(w))
+			for _, result := range r.Results {
+				fmt.Fprintf(&b, " %s |", measure.value(result))
 			}
 			b.WriteString("\n")
 		}
 		b.WriteString("\n")
 	}
-	own(&b, rows)
-	hopsTable(&b, rows, seeds[0])
-	weightTable(&b, weighed)
+	writeOwnResults(&b, rows)
+	writeHops(&b, rows, seeds[0])
+	writeWeights(&b, weights)
 	b.WriteString(plot(rows))
 	return b.String()
 }
 
-// own is what only the project's way has: hops and doubled openings.
-func own(b *strings.Builder, rows []Row) {
+// writeOwnResults writes the results that only the project's own algorithm has: refill
+// times, flows opened at two targets, and where a baseline's imbalance was not higher.
+func writeOwnResults(b *strings.Builder, rows []Row) {
 	flows, doubled := 0, 0
 	for _, r := range rows {
-		flows += r.Ways[0].Flows
-		doubled += r.Ways[0].Doubled
+		flows += r.Results[0].Flows
+		doubled += r.Results[0].Doubled
 	}
 	b.WriteString("## An empty, warm target joins\n\nFrom its first moment as one that opens flows, three seconds after its start. Mean lengths of a flow until the imbalance is below 1.02 again, and the least that is possible: the time in which as many flows arrive as the target lacks.\n\n| deployment, service | until below 1.02 | least |\n| --- | --- | --- |\n")
 	for _, r := range rows {
 		if r.Case.Scenario == Steady {
-			fmt.Fprintf(b, "| %s, %s | %.3f | %.3f |\n", r.Case.Deployment, r.Case.Service, r.Refill, r.Least)
+			fmt.Fprintf(b, "| %s, %s | %.3f | %.3f |\n", r.Case.Deployment, r.Case.Service, r.RefillTime, r.MinRefillTime)
 		}
 	}
 	b.WriteString("\n")
 	fmt.Fprintf(b, "In these runs %d flows were opened and %d of them at two targets.\n", flows, doubled)
 	var worse []string
 	for _, r := range rows {
-		for _, w := range r.Ways[1:] {
-			if w.Ratio <= r.Ways[0].Ratio {
-				worse = append(worse, fmt.Sprintf("- %s, %s, %s: %.4f beside %.4f of %s", r.Case.Deployment, r.Case.Service, r.Case.Scenario, r.Ways[0].Ratio, w.Ratio, w.Way))
+		for _, result := range r.Results[1:] {
+			if result.Imbalance <= r.Results[0].Imbalance {
+				worse = append(worse, fmt.Sprintf("- %s, %s, %s: %.4f beside %.4f of %s", r.Case.Deployment, r.Case.Service, r.Case.Scenario, r.Results[0].Imbalance, result.Imbalance, result.Algorithm))
 			}
 		}
 	}
@@ -135,22 +136,22 @@
 
 const (
 	plotWidth = 50
-	// plotMost is the imbalance at the right edge of the plot.
-	plotMost = 1.05
+	// plotMax is the imbalance at the right edge of the plot.
+	plotMax = 1.05
 )
 
 // plot draws the imbalance of the steady state and the rolling replacement.
 func plot(rows []Row) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "\n## Plot: imbalance from 1 to %.2f\n\n", plotMost)
+	fmt.Fprintf(&b, "\n## Plot: imbalance from 1 to %.2f\n\n", plotMax)
 	for _, r := range rows {
-		if r.Case.Scenario != Steady && r.Case.Scenario != Targets {
+		if r.Case.Scenario != Steady && r.Case.Scenario != TargetsReplaced {
 			continue
 		}
 		fmt.Fprintf(&b, "    %s, %s\n", r.Case.Service, r.Case.Scenario)
-		for _, w := range r.Ways {
-			length := min(int((w.Ratio-1)/(plotMost-1)*plotWidth+0.5), plotWidth)
-			fmt.Fprintf(&b, "    %-30s %s %.4f\n", w.Way, strings.Repeat("#", length), w.Ratio)
+		for _, result := range r.Results {
+			length := min(int((result.Imbalance-1)/(plotMax-1)*plotWidth+0.5), plotWidth)
+			fmt.Fprintf(&b, "    %-30s %s %.4f\n", result.Algorithm, strings.Repeat("#", length), result.Imbalance)
 		}
 	}
 	return b.String()
--- a/internal/measures/weight.go
+++ b/internal/measures/weight.go
@@ -9,26 +9,26 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Digest intervals that the answers' weight chooses between.
+// Digest intervals for the two values of weight in the answers.
 const (
-	brokenDigest    = 500 * clock.Millis(1)
-	imbalanceDigest = 250 * clock.Millis(1)
+	brokenDigestInterval    = 500 * clock.Millis(1)
+	imbalanceDigestInterval = 250 * clock.Millis(1)
 )
 
-// Weighed is one service with the digests of each weight.
-type Weighed struct {
+// WeightResult is the imbalance of one service with the digest interval of each weight.
+type WeightResult struct {
 	Case Case
-	// Broken and Imbalance are the steady imbalance with the values that are
-	// generated where broken flows, or imbalance, count more.
-	Broken, Imbalance float64
+	// BrokenWeight and ImbalanceWeight are the steady-state imbalance with the digest
+	// interval generated if broken flows, or imbalance, have the higher weight.
+	BrokenWeight, ImbalanceWeight float64
 }
 
-// Weights runs every service in the steady state with both weights' digests.
-func Weights(perTarget int, seeds []uint64, workers int) []Weighed {
-	var all []Weighed
+// RunWeights runs every service in the steady state with the digest intervals of both weights.
+func RunWeights(perTarget int, seeds []uint64, workers int) []WeightResult {
+	var all []WeightResult
 	for _, c := range Cases(perTarget) {
 		if c.Scenario == Steady {
-			all = append(all, Weighed{Case: c})
+			all = append(all, WeightResult{Case: c})
 		}
 	}
 	var group errgroup.Group
@@ -36,8 +36,8 @@
 	for i := range all {
 		group.Go(func() error {
 			w := &all[i]
-			w.Broken = steadyRatio(w.Case, brokenDigest, seeds)
-			w.Imbalance = steadyRatio(w.Case, imbalanceDigest, seeds)
+			w.BrokenWeight = steadyImbalance(w.Case, brokenDigestInterval, seeds)
+			w.ImbalanceWeight = steadyImbalance(w.Case, imbalanceDigestInterval, seeds)
 			return nil
 		})
 	}
@@ -45,11 +45,11 @@
 	return all
 }
 
-func steadyRatio(c Case, digest clock.Millis, seeds []uint64) float64 {
-	c.Digest = digest
+func steadyImbalance(c Case, digest clock.Millis, seeds []uint64) float64 {
+	c.DigestInterval = digest
 	sum := 0.0
 	for _, seed := range seeds {
-		sum += RunOurs(c, seed).Ratio
+		sum += RunWagtailtray(c, seed).Imbalance
 	}
 	return sum / float64(len(seeds))
 }
@@ -70,10 +70,10 @@
 shown.
 `
 
-func weightTable(b *strings.Builder, all []Weighed) {
+func writeWeights(b *strings.Builder, all []WeightResult) {
 	b.WriteString(weightIntro)
 	for _, w := range all {
-		fmt.Fprintf(b, "| %s, %s | %.5f | %.5f |\n", w.Case.Deployment, w.Case.Service, w.Broken-1, w.Imbalance-1)
+		fmt.Fprintf(b, "| %s, %s | %.5f | %.5f |\n", w.Case.Deployment, w.Case.Service, w.BrokenWeight-1, w.ImbalanceWeight-1)
 	}
 	b.WriteString(weightOutro)
 }
