--- a/cmd/wagtailtray/approve.go
+++ b/cmd/wagtailtray/approve.go
@@ -30,7 +30,7 @@
 	}
 	var p approval.Plan
 	if err := json.Unmarshal(data, &p); err != nil {
-		return errs.Combine(approval.ErrPlan, err)
+		return errs.Combine(approval.ErrInvalidPlan, err)
 	}
 	client := c.open()
 	defer client.Close()
@@ -38,5 +38,5 @@
 	if err != nil {
 		return err
 	}
-	return showApproved(c.JSON, &p, state.Root.Find)
+	return showApproved(c.JSON, &p, state.Root.FindChange)
 }
--- a/cmd/wagtailtray/drain.go
+++ b/cmd/wagtailtray/drain.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	return showApproved(c.JSON, p, state.Root.Find)
+	return showApproved(c.JSON, p, state.Root.FindChange)
 }
 
 // showApproved prints the version that a plan became.
--- a/cmd/wagtailtray/main.go
+++ b/cmd/wagtailtray/main.go
@@ -91,7 +91,7 @@
 	}{
 		{answers.ErrAnswers, exitAnswers},
 		{approval.ErrStale, exitStale},
-		{approval.ErrOpen, exitOpen},
+		{approval.ErrOutcomeUnknown, exitOpen},
 		{platform.ErrUnknown, exitOpen},
 		{platform.ErrUnavailable, exitUnavailable},
 		{errBroken, exitBroken},
--- a/internal/capacity/subjects.go
+++ b/internal/capacity/subjects.go
@@ -41,20 +41,20 @@
 	s := &config.State{Records: map[string]*config.Service{}}
 	s.Root.Version = version
 	s.Root.Deployment = "measured"
-	s.Root.Timing = config.Timing{Heartbeat: 900, Suspect: 2712, Lease: 2712, Linger: 2012, Retain: clock.Hour}
+	s.Root.Timing = config.Timing{HeartbeatInterval: 900, SuspectTimeout: 2712, LeaseDuration: 2712, LingerTime: 2012, Retention: clock.Hour}
 	for i := range services {
 		r := &config.Service{
 			Name: fmt.Sprintf("service-%04d", i), Number: uint32(i + 1),
 			Address:   netip.AddrPortFrom(local, 0),
 			Upstreams: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
-			Flows:     2500, Slots: 4, Idle: 30000, Opening: 10000, Drain: 14400000, Digest: 500, Resend: 10000,
+			MaxFlows:  2500, Slots: 4, IdleTimeout: 30000, UnansweredTimeout: 10000, DrainTimeout: 14400000, DigestInterval: 500, ResendWindow: 10000,
 		}
 		if uint64(i) == version%uint64(services) {
-			r.Flows += int(version)
+			r.MaxFlows += int(version)
 		}
 		name := config.NameOf(r)
 		s.Records[name] = r
-		s.Root.Services = append(s.Root.Services, config.Entry{Name: r.Name, Number: r.Number, Record: name})
+		s.Root.Services = append(s.Root.Services, config.Entry{Name: r.Name, Number: r.Number, RecordName: name})
 	}
 	return s
 }
--- a/internal/connection/stream/bench_test.go
+++ b/internal/connection/stream/bench_test.go
@@ -61,7 +61,7 @@
 func BenchmarkWaiting(b *testing.B) {
 	s := crowded(b, 204)
 	table := oneListener(b)
-	table.Services = []routing.Service{{Name: "one", Warming: 1}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: 1}}
 	if err := table.Check(); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/connection/stream/demand.go
+++ b/internal/connection/stream/demand.go
@@ -26,10 +26,10 @@
 func (s *Steerer) TakeEvacuations(now clock.Millis, later evacuation.Snapshot) bool {
 	known := &s.Targets.evacuated
 	first := !known.Known() && later.Known()
-	d := known.Take(later)
-	s.noteEvacuations(d.Ordered, "evacuated")
-	s.noteEvacuations(d.Withdrawn, "no longer evacuated")
-	changed := first || d.Any()
+	d := known.Update(later)
+	s.noteEvacuations(d.Added, "evacuated")
+	s.noteEvacuations(d.Removed, "no longer evacuated")
+	changed := first || d.HasChanges()
 	if changed {
 		s.retry(now)
 	}
--- a/internal/connection/stream/evacuation_test.go
+++ b/internal/connection/stream/evacuation_test.go
@@ -69,7 +69,7 @@
 // caller is told at once that nothing has run, and does not wait until its deadline.
 func TestRefusedAtOnceWhereNothingMayOpen(t *testing.T) {
 	homes := oneListener(t)
-	homes.Listeners[0].Homes = []string{"south"}
+	homes.Listeners[0].HomeRegions = []string{"south"}
 	for _, c := range []struct {
 		name      string
 		table     *routing.Table
@@ -132,7 +132,7 @@
 // balancer's own failure domain has room.
 func TestHomeRegions(t *testing.T) {
 	table := oneListener(t)
-	table.Listeners[0].Homes = []string{"south"}
+	table.Listeners[0].HomeRegions = []string{"south"}
 	s := evacuating(t, table, nil, "a", "b", "c")
 	for i := range 50 {
 		opens(s, testNow, i)
@@ -146,7 +146,7 @@
 // home regions of their listener.
 func TestSearchStaysInHomeRegions(t *testing.T) {
 	table := oneListener(t)
-	table.Listeners[0].Homes = []string{"south"}
+	table.Listeners[0].HomeRegions = []string{"south"}
 	s := evacuating(t, table, nil, "a", "c")
 	id := callerFlow(1)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Ack: 9, Size: 100})
@@ -293,7 +293,7 @@
 		t.Errorf("%d taken, %d handed back", taken, handed)
 	}
 	table := oneListener(t)
-	table.Services = []routing.Service{{Name: "one", Warming: rate}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: rate}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -332,7 +332,7 @@
 // caller is told.
 func TestTurnedAwayAgainAndAgain(t *testing.T) {
 	table := oneListener(t)
-	table.Services = []routing.Service{{Name: "one", Warming: 4}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: 4}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -372,7 +372,7 @@
 func TestCrowdWaitsForWarmTargets(t *testing.T) {
 	const rate = 4
 	table := oneListener(t)
-	table.Services = []routing.Service{{Name: "one", Warming: rate}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: rate}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -107,11 +107,11 @@
 // later, and old lists come late.
 func (w *world) evacuate(domain string) {
 	last := w.orders[len(w.orders)-1]
-	c := evacuation.Change{Domain: domain, Withdrawn: last.Has(domain)}
-	next := last.After(last.Revision+1, []evacuation.Change{c})
+	c := evacuation.Change{Domain: domain, Removed: last.Has(domain)}
+	next := last.Apply(last.Revision+1, []evacuation.Change{c})
 	w.orders = append(w.orders, next)
 	delete(w.evacuated, domain)
-	if !c.Withdrawn {
+	if !c.Removed {
 		w.evacuated[domain] = w.now
 	}
 	for _, b := range w.balancers {
--- a/internal/connection/stream/hand.go
+++ b/internal/connection/stream/hand.go
@@ -26,7 +26,7 @@
 // callers send stays in the regions that their listener is at home in.
 func (s *Steerer) mayHand(id segment.Flow, to netip.AddrPort) bool {
 	t, ok := s.Targets.Find(to)
-	return ok && (s.table == nil || s.Targets.home(t.Domain, s.table.Homes(id)))
+	return ok && (s.table == nil || s.Targets.home(t.Domain, s.table.HomeRegions(id)))
 }
 
 // eliminate ends a search at the one target that is left: all others have denied
--- a/internal/connection/stream/hold.go
+++ b/internal/connection/stream/hold.go
@@ -80,7 +80,7 @@
 	keeping  keeping
 	// gate tells whether the failure domain is evacuated; window bounds what the target
 	// is handed while it is slow after its start, at rate.
-	gate   evacuation.Gate
+	gate   evacuation.DomainStatus
 	window admission.Window
 	rate   int
 	// told is the target's condition that balancers were told last.
@@ -173,7 +173,7 @@
 	switch {
 	case !h.Accepting(now):
 		return wire.Cause_CAUSE_CLOSED
-	case h.gate.Closed:
+	case h.gate.Evacuated:
 		return wire.Cause_CAUSE_EVACUATED
 	case warming && h.window.Room(now, rate) == 0:
 		return wire.Cause_CAUSE_WARMING
--- a/internal/connection/stream/opening.go
+++ b/internal/connection/stream/opening.go
@@ -33,7 +33,7 @@
 		s.flows.Add(id, f)
 	}
 	f.last, f.ended, f.inherited = now, false, false
-	f.service, f.homes = service, s.table.Homes(id)
+	f.service, f.homes = service, s.table.HomeRegions(id)
 	if f.search == nil {
 		f.asked = nil
 	}
@@ -63,7 +63,7 @@
 		s.out.note(Event{Kind: Unrouted, Flow: id, Reason: "no configuration yet"})
 		return "", routing.ErrNoListener
 	}
-	service, err := s.table.Pick(id)
+	service, err := s.table.PickService(id)
 	if err != nil {
 		s.out.note(Event{Kind: Unrouted, Flow: id, Reason: "no listener", Version: s.version()})
 		s.out.Resets = append(s.out.Resets, Reset{Flow: id})
@@ -83,7 +83,7 @@
 	if s.table == nil {
 		return 0
 	}
-	return s.table.Warming(service)
+	return s.table.WarmingRate(service)
 }
 
 func (s *Steerer) demand(f *flow) Demand {
--- a/internal/connection/stream/report.go
+++ b/internal/connection/stream/report.go
@@ -110,11 +110,11 @@
 // Targets that nothing was opened at may be slow again when the order is withdrawn, which
 // their next heartbeat tells.
 func (h *Holder) ordered(now clock.Millis, probe *wire.Report) {
-	if !h.gate.Take(probe.Orders, probe.Evacuated) {
+	if !h.gate.Update(probe.Orders, probe.Evacuated) {
 		return
 	}
 	reason := "evacuated"
-	if !h.gate.Closed {
+	if !h.gate.Evacuated {
 		reason = "no longer evacuated"
 		h.upstream.coldUntil = max(h.upstream.coldUntil, now+h.settings.Heartbeat+beatSlack)
 	}
--- a/internal/connection/stream/steer.go
+++ b/internal/connection/stream/steer.go
@@ -121,7 +121,7 @@
 		return false
 	}
 	s.table = t
-	s.history.Note(now, t)
+	s.history.SetCurrent(now, t)
 	s.retry(now)
 	return true
 }
--- a/internal/connection/stream/waiting.go
+++ b/internal/connection/stream/waiting.go
@@ -96,12 +96,12 @@
 	if s.table == nil || s.blind() && now.Sub(s.started) <= startFor {
 		return false
 	}
-	service, err := s.table.Pick(id)
+	service, err := s.table.PickService(id)
 	if err != nil {
 		return true
 	}
 	w := wanted{listener: id.Listener, service: service}
-	d := Demand{Service: service, Homes: s.table.Homes(id), Warming: s.warming(service)}
+	d := Demand{Service: service, Homes: s.table.HomeRegions(id), Warming: s.warming(service)}
 	full[w] = full[w] || !s.Targets.ready(now, &d) && (!s.certain(now) || s.Targets.barred(now, &d) == "")
 	return !full[w]
 }
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -246,9 +246,9 @@
 
 // open makes the tables and sockets that the service's record sizes.
 func (a *Agent) open() error {
-	a.loads = owner.NewLoads(staleDigests * a.record.Digest)
+	a.loads = owner.NewLoads(staleDigests * a.record.DigestInterval)
 	a.table = owner.NewTable(a.limits(), a.loads)
-	a.trust = owner.NewTrust(a.record.Idle)
+	a.trust = owner.NewTrust(a.record.IdleTimeout)
 	pool, err := upstream.NewPool(a.settings.Local, a.settings.Upstream, a.settings.Workers, a.answer)
 	if err != nil {
 		return err
@@ -261,8 +261,8 @@
 // limits are those of the table by the service's record.
 func (a *Agent) limits() owner.Limits {
 	return owner.Limits{
-		Flows: a.record.Flows, Memory: a.record.Flows * memoryFactor,
-		Idle: a.record.Idle, Opening: a.record.Opening,
+		Flows: a.record.MaxFlows, Memory: a.record.MaxFlows * memoryFactor,
+		Idle: a.record.IdleTimeout, Opening: a.record.UnansweredTimeout,
 	}
 }
 
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -150,7 +150,7 @@
 func TestDrainLimit(t *testing.T) {
 	c := &clock.Manual{}
 	a := newTest(t, c)
-	a.record = config.Service{Drain: clock.Hour, Flows: 10}
+	a.record = config.Service{DrainTimeout: clock.Hour, MaxFlows: 10}
 	a.version = 1
 	a.table = owner.NewTable(a.limits(), owner.NewLoads(1))
 	a.drained = true
@@ -161,7 +161,7 @@
 	if !a.drainOver(c.Add(1)) {
 		t.Error("not over beyond the limit")
 	}
-	a.record.Drain = 2 * clock.Hour
+	a.record.DrainTimeout = 2 * clock.Hour
 	if a.drainOver(c.Now()) {
 		t.Error("over although the limit is later now")
 	}
--- a/internal/process/agent/beat.go
+++ b/internal/process/agent/beat.go
@@ -66,7 +66,7 @@
 func (a *Agent) heartbeats(ctx context.Context) {
 	for {
 		a.mu.Lock()
-		every := a.timing.Heartbeat
+		every := a.timing.HeartbeatInterval
 		a.mu.Unlock()
 		if every <= 0 {
 			every = idleHeartbeat
--- a/internal/process/agent/hold_test.go
+++ b/internal/process/agent/hold_test.go
@@ -31,7 +31,7 @@
 	a := newTest(t, p.clock)
 	p.Agent, p.worker = a, a.newWorker()
 	a.count = newCounters(p.scope)
-	a.record.Number, a.record.Flows, a.record.Idle, a.record.Opening = 1, 10, clock.Minute, clock.Minute
+	a.record.Number, a.record.MaxFlows, a.record.IdleTimeout, a.record.UnansweredTimeout = 1, 10, clock.Minute, clock.Minute
 	a.table = owner.NewTable(a.limits(), owner.NewLoads(clock.Second))
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/process/agent/keep.go
+++ b/internal/process/agent/keep.go
@@ -47,7 +47,7 @@
 // tooOld reports that nobody has served a ledger's flows for longer than any of them may
 // be idle. Several peers may keep one ledger, and its successor takes it from one of them.
 func (a *Agent) tooOld(l *keptLedger) bool {
-	return a.record.Idle > 0 && a.deps.Clock.Now().Sub(l.at) > a.record.Idle
+	return a.record.IdleTimeout > 0 && a.deps.Clock.Now().Sub(l.at) > a.record.IdleTimeout
 }
 
 // giveLedger gives a target's ledger to its successor.
--- a/internal/process/agent/load.go
+++ b/internal/process/agent/load.go
@@ -208,7 +208,7 @@
 func (a *Agent) drainOver(now clock.Millis) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.self.State != member.Draining || a.record.Drain == 0 || now.Sub(a.draining) <= a.record.Drain {
+	if a.self.State != member.Draining || a.record.DrainTimeout == 0 || now.Sub(a.draining) <= a.record.DrainTimeout {
 		return false
 	}
 	if n := a.table.Len(); n > 0 {
--- a/internal/process/agent/start_test.go
+++ b/internal/process/agent/start_test.go
@@ -29,8 +29,8 @@
 		return nil, err
 	}
 	reply := &wire.Announced{Version: 1}
-	reply.Record, _ = json.Marshal(config.Service{Number: 1, Flows: 10, Idle: clock.Minute})
-	reply.Timing, _ = json.Marshal(config.Timing{Heartbeat: clock.Second, Lease: clock.Minute})
+	reply.Record, _ = json.Marshal(config.Service{Number: 1, MaxFlows: 10, IdleTimeout: clock.Minute})
+	reply.Timing, _ = json.Marshal(config.Timing{HeartbeatInterval: clock.Second, LeaseDuration: clock.Minute})
 	if len(r.Member.Tunnels) > 0 {
 		c.announced <- netip.MustParseAddrPort(r.Member.Tunnels[0])
 		<-c.answer
--- a/internal/process/agent/takeover_test.go
+++ b/internal/process/agent/takeover_test.go
@@ -174,7 +174,7 @@
 func TestOldLedgerIsNotGiven(t *testing.T) {
 	c := &clock.Manual{}
 	a := newTest(t, c)
-	a.record.Idle = clock.Minute
+	a.record.IdleTimeout = clock.Minute
 	if err := a.keep(&wire.Keep{Target: "web.t2", Ledger: []byte("flows")}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/process/agent/view.go
+++ b/internal/process/agent/view.go
@@ -48,13 +48,13 @@
 		return
 	}
 	a.record, a.timing, a.version = record, timing, r.Version
-	a.leaseTime.Store(int64(timing.Lease))
-	a.digestTime.Store(int64(record.Digest))
-	a.rampTime.Store(int64(record.Ramp))
+	a.leaseTime.Store(int64(timing.LeaseDuration))
+	a.digestTime.Store(int64(record.DigestInterval))
+	a.rampTime.Store(int64(record.RampTime))
 	a.slots.Store(uint32(record.Slots))
 	if a.table != nil {
 		a.table.SetLimits(a.limits())
-		a.loads.SetBound(staleDigests * record.Digest)
+		a.loads.SetBound(staleDigests * record.DigestInterval)
 	}
 }
 
@@ -144,7 +144,7 @@
 		candidates = append(candidates, a.candidate(&a.peers[i]))
 	}
 	set := target.NewSet(a.record.Number, candidates)
-	v := a.observer.View(now, set, a.self.Incarnation, a.record.Resend)
+	v := a.observer.View(now, set, a.self.Incarnation, a.record.ResendWindow)
 	if a.loads != nil {
 		a.loads.Keep(set)
 	}
--- a/internal/process/balancer/balancer.go
+++ b/internal/process/balancer/balancer.go
@@ -112,7 +112,7 @@
 	answers atomic.Pointer[map[uint32]*edge]
 
 	mu     sync.Mutex
-	book   *spread.Book
+	book   *spread.Replica
 	table  *member.Table
 	self   member.Member
 	heard  map[member.Key]*contact
@@ -147,7 +147,7 @@
 		settings: settings, deps: deps, count: newCounters(deps.Scope),
 		hints:  target.NewHints(settings.Limits),
 		sealer: envelope.NewSealer(deps.Ring, envelope.Room(settings.MTU, settings.Tunnel)-envelope.WalkRoom),
-		book:   spread.NewBook(), table: member.NewTable(),
+		book:   spread.NewReplica(), table: member.NewTable(),
 		heard: map[member.Key]*contact{}, byBeat: map[beaten]member.Key{}, serviceChanged: map[string]uint64{}, edges: map[uint32]*edge{},
 		client: client, news: make(chan news, newsQueue), beats: make(chan arrived, beatQueue),
 	}
@@ -235,7 +235,7 @@
 func (b *Balancer) Stop(ctx context.Context) {
 	b.leave()
 	b.mu.Lock()
-	linger := b.book.State().Root.Timing.Linger
+	linger := b.book.State().Root.Timing.LingerTime
 	b.mu.Unlock()
 	b.sayLeave(ctx, linger)
 	b.forgetRoster(ctx)
--- a/internal/process/balancer/contact.go
+++ b/internal/process/balancer/contact.go
@@ -63,7 +63,7 @@
 		Drain: state.Draining(m.Service, m.Name),
 	}
 	service, ok := state.Service(m.Service)
-	reply.Barred = !ok || !service.Admits(m.Upstream.Addr())
+	reply.Barred = !ok || !service.AllowsUpstream(m.Upstream.Addr())
 	if ok && r.Version < state.Root.Version {
 		reply.Record, _ = json.Marshal(service)
 		reply.Timing, _ = json.Marshal(state.Root.Timing)
@@ -139,7 +139,7 @@
 func (b *Balancer) overdue(now clock.Millis, timing config.Timing) []member.Member {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	paused := b.ticked != 0 && now.Sub(b.ticked) > 2*timing.Heartbeat
+	paused := b.ticked != 0 && now.Sub(b.ticked) > 2*timing.HeartbeatInterval
 	b.ticked = now
 	var late []member.Member
 	for k, c := range b.heard {
@@ -176,9 +176,9 @@
 // first one is not late for them.
 func (c *contact) patience(timing config.Timing) clock.Millis {
 	if c.gap <= 1 {
-		return timing.Suspect
+		return timing.SuspectTimeout
 	}
-	return timing.Suspect + clock.Millis(c.gap-1)*timing.Heartbeat
+	return timing.SuspectTimeout + clock.Millis(c.gap-1)*timing.HeartbeatInterval
 }
 
 // probe asks a late target itself before it is suspected: its heartbeats may
--- a/internal/process/balancer/edge.go
+++ b/internal/process/balancer/edge.go
@@ -47,7 +47,7 @@
 	}
 	wanted := map[uint32]netip.AddrPort{}
 	for _, entry := range state.Root.Services {
-		address := state.Records[entry.Record].Address
+		address := state.Records[entry.RecordName].Address
 		if b.settings.Edge.IsValid() {
 			address = netip.AddrPortFrom(b.settings.Edge, address.Port())
 		}
--- a/internal/process/balancer/relay_test.go
+++ b/internal/process/balancer/relay_test.go
@@ -44,12 +44,12 @@
 // configure brings a version with one service into force, whose one target's
 // tunnel is given.
 func configure(t testing.TB, b *Balancer, address, tunnel netip.AddrPort) {
-	record := &config.Service{Name: "web", Number: 1, Address: address, Upstreams: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Flows: 100}
+	record := &config.Service{Name: "web", Number: 1, Address: address, Upstreams: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, MaxFlows: 100}
 	name := config.NameOf(record)
 	state := &config.State{Records: map[string]*config.Service{name: record}}
 	state.Root.Version = 1
-	state.Root.Timing = config.Timing{Heartbeat: 500, Suspect: 1500, Retain: clock.Minute}
-	state.Root.Services = []config.Entry{{Name: "web", Number: 1, Record: name}}
+	state.Root.Timing = config.Timing{HeartbeatInterval: 500, SuspectTimeout: 1500, Retention: clock.Minute}
+	state.Root.Services = []config.Entry{{Name: "web", Number: 1, RecordName: name}}
 	b.takeMembers([]*wire.Member{webTarget(tunnel).Wire()})
 	b.takeState(state)
 	if b.Version() != 1 {
@@ -83,7 +83,7 @@
 	}
 	late := 0
 	for range 10 {
-		late += len(b.overdue(c.Add(timing.Heartbeat), timing))
+		late += len(b.overdue(c.Add(timing.HeartbeatInterval), timing))
 	}
 	if late != 1 {
 		t.Errorf("late %d times, want once until it is probed", late)
@@ -107,7 +107,7 @@
 			a.beat.Number = number
 			b.beat(a)
 		}
-		if late := b.overdue(c.Add(timing.Heartbeat), timing); len(late) > 0 && number > 2*mostGap {
+		if late := b.overdue(c.Add(timing.HeartbeatInterval), timing); len(late) > 0 && number > 2*mostGap {
 			t.Fatalf("late at beat %d", number)
 		}
 		b.heard[webTarget(anyPort).Key].probing = false
--- a/internal/process/balancer/sync.go
+++ b/internal/process/balancer/sync.go
@@ -49,7 +49,7 @@
 	b.mu.Lock()
 	var deltas []*config.Delta
 	if reply.Version < b.book.Version() {
-		deltas, _ = b.book.Since(reply.Version)
+		deltas, _ = b.book.DeltasSince(reply.Version)
 	}
 	b.mu.Unlock()
 	for _, d := range deltas {
@@ -114,7 +114,7 @@
 }
 
 func (b *Balancer) fillConfiguration(reply *wire.Synced, from uint64) {
-	if deltas, ok := b.book.Since(from); ok {
+	if deltas, ok := b.book.DeltasSince(from); ok {
 		reply.Deltas, _ = json.Marshal(deltas)
 		return
 	}
@@ -125,7 +125,7 @@
 // something in between is missing.
 func (b *Balancer) takeDelta(d *config.Delta) (behind bool) {
 	b.mu.Lock()
-	took, behind := b.book.Offer(d)
+	took, behind := b.book.ApplyDelta(d)
 	if took {
 		b.inForce()
 	}
--- a/internal/process/balancer/tick.go
+++ b/internal/process/balancer/tick.go
@@ -30,7 +30,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-after(timing.Heartbeat):
+		case <-after(timing.HeartbeatInterval):
 		}
 		now := b.deps.Clock.Now()
 		for _, m := range b.overdue(now, timing) {
@@ -53,8 +53,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.book.State().Root.Timing
-	if t.Heartbeat <= 0 {
-		return config.Timing{Heartbeat: idleHeartbeat, Suspect: 4 * clock.Second, Retain: retainIdle}
+	if t.HeartbeatInterval <= 0 {
+		return config.Timing{HeartbeatInterval: idleHeartbeat, SuspectTimeout: 4 * clock.Second, Retention: retainIdle}
 	}
 	return t
 }
@@ -63,7 +63,7 @@
 	b.adoptOrphans(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	gone := b.table.Expire(now, timing.Retain)
+	gone := b.table.Expire(now, timing.Retention)
 	for _, m := range gone {
 		b.deps.Log.Info().Str("event", "forgotten").Str("service", m.Service).Str("name", m.Name).Msg("retention has passed")
 	}
--- a/internal/process/balancer/view.go
+++ b/internal/process/balancer/view.go
@@ -74,7 +74,7 @@
 // operators do not admit to the service is none.
 func candidate(state *config.State, m *member.Member) (target.Candidate, bool) {
 	service, ok := state.Service(m.Service)
-	if !ok || !service.Admits(m.Upstream.Addr()) || m.State == member.Left {
+	if !ok || !service.AllowsUpstream(m.Upstream.Addr()) || m.State == member.Left {
 		return target.Candidate{}, false
 	}
 	return target.Candidate{
--- a/internal/version/approval/approval.go
+++ b/internal/version/approval/approval.go
@@ -1,17 +1,16 @@
-// Package approval brings an approved plan into the platform.
+// Package approval commits approved plans to the platform.
 //
 // # The model
 //
-// A Plan is what an operator saw: the state it starts from, the state it leads
-// to and an identifier of its own. Commit writes the records that are new and
-// then replaces the root under the condition that it is still the one that the
-// plan starts from.
+// A Plan is a change as shown to an operator: the state it starts from, the state
+// it leads to and a unique identifier. Commit writes the new records and then
+// replaces the root on condition that it is still the one that the plan starts from.
 //
-// Two operators race for the root; the platform lets one win, and the other is
-// told which changes came in between. An answer can be lost after the root was
-// replaced. Commit then reads the root back: the plan's identifier is in the
-// root's list of changes exactly if the write took effect. So a plan can be
-// committed any number of times and changes the configuration once.
+// If two operators commit at the same time, the platform accepts one write of the
+// root, and the other operator is shown the changes made since the plan. If the
+// response to the write of the root is lost, Commit reads the root: its list of
+// changes contains the plan's identifier if and only if the write took effect. So a
+// plan can be committed any number of times and changes the configuration once.
 //
 // # Usage
 //
@@ -37,22 +36,22 @@
 // RootName is the name of the one configuration object.
 const RootName = "root"
 
-// readBacks is how often a lost answer is looked up before the operator is
-// told that the outcome is open.
-const readBacks = 3
+// maxReadAttempts is how often Commit tries to read back a write whose response was
+// lost before it reports that the outcome is unknown.
+const maxReadAttempts = 3
 
 // Errors of this package.
 var (
 	// ErrStale means that the configuration changed after the plan was made.
 	ErrStale = errs.New("approval: the configuration has changed since the plan was made")
-	// ErrOpen means that the write may have taken effect; the same plan can
-	// be approved again to find out.
-	ErrOpen = errs.New("approval: the outcome is open, approve the same plan again")
-	// ErrPlan means that a plan does not fit together.
-	ErrPlan = errs.New("approval: the plan is damaged")
+	// ErrOutcomeUnknown means that the write may have taken effect; the same plan
+	// can be approved again to find out.
+	ErrOutcomeUnknown = errs.New("approval: the outcome is unknown, approve the same plan again")
+	// ErrInvalidPlan means that a plan is inconsistent or was edited.
+	ErrInvalidPlan = errs.New("approval: invalid plan")
 )
 
-// Plan is one change as an operator saw it.
+// Plan is one change as shown to an operator.
 type Plan struct {
 	ID   string       `json:"id"`
 	Base uint64       `json:"base"`
@@ -60,38 +59,38 @@
 	To   config.State `json:"to"`
 }
 
-// NewPlan returns the plan that leads from base to the state. now is the
-// operator's wall clock, for people to read.
+// NewPlan returns the plan that leads from base to the state to. now is the
+// operator's wall-clock time, for display only.
 func NewPlan(base *config.State, to *config.State, author, now string) *Plan {
 	p := &Plan{ID: uuid.NewString(), Base: base.Root.Version, From: *base, To: *to}
 	change := config.Change{ID: p.ID, Author: author, Time: now, Summary: config.Compare(base, to)}
-	p.To.Root.Succeed(&base.Root, change)
+	p.To.Root.SetNextVersion(&base.Root, change)
 	return p
 }
 
-// Check reports a plan that was edited: its records must be the ones that
-// their names say, and its version the one after its base.
+// Check returns an error if the plan was edited: each record's name must be the hash
+// of its content, and the plan's version must follow its base.
 func (p *Plan) Check() error {
-	if _, ok := p.To.Root.Find(p.ID); !ok || p.To.Root.Version != p.Base+1 {
-		return ErrPlan
+	if _, ok := p.To.Root.FindChange(p.ID); !ok || p.To.Root.Version != p.Base+1 {
+		return ErrInvalidPlan
 	}
 	for name, record := range p.To.Records {
 		if config.NameOf(record) != name {
-			return errs.Combine(ErrPlan, errs.New("record %s was edited", name))
+			return errs.Combine(ErrInvalidPlan, errs.New("record %s was edited", name))
 		}
 	}
 	return p.To.Check()
 }
 
-// Load reads the state in the platform. A platform without a configuration
-// gives the empty state, version 0.
+// Load reads the state from the platform. Without a configuration it returns the
+// empty state, version 0.
 func Load(ctx context.Context, store platform.Store) (*config.State, error) {
 	state, _, err := load(ctx, store, nil)
 	return state, err
 }
 
-// LoadKnown is Load for a process that holds an earlier state: it reads only
-// the records that this state lacks.
+// LoadKnown is like Load but reads only the records that the earlier state known
+// lacks. It also returns the resource version of the root.
 func LoadKnown(ctx context.Context, store platform.Store, known *config.State) (*config.State, uint64, error) {
 	return load(ctx, store, known)
 }
@@ -111,61 +110,61 @@
 	if known != nil && known.Root.Version == state.Root.Version {
 		return known, o.Metadata.ResourceVersion, nil
 	}
-	if err := records(ctx, store, state, known); err != nil {
+	if err := loadRecords(ctx, store, state, known); err != nil {
 		return nil, 0, err
 	}
 	return state, o.Metadata.ResourceVersion, nil
 }
 
-// listFrom is the number of missing records from which one list of all is
-// cheaper for the platform than a call for each.
-const listFrom = 4
+// minMissingForList is the number of missing records from which one list of all
+// records is cheaper for the platform than one call per record.
+const minMissingForList = 4
 
-func records(ctx context.Context, store platform.Store, state *config.State, known *config.State) error {
+func loadRecords(ctx context.Context, store platform.Store, state *config.State, known *config.State) error {
 	var missing []string
 	for _, e := range state.Root.Services {
-		if known != nil && known.Records[e.Record] != nil {
-			state.Records[e.Record] = known.Records[e.Record]
+		if known != nil && known.Records[e.RecordName] != nil {
+			state.Records[e.RecordName] = known.Records[e.RecordName]
 			continue
 		}
-		missing = append(missing, e.Record)
+		missing = append(missing, e.RecordName)
 	}
-	if len(missing) >= listFrom {
-		return listed(ctx, store, state, missing)
+	if len(missing) >= minMissingForList {
+		return listRecords(ctx, store, state, missing)
 	}
 	for _, name := range missing {
 		o, err := store.Get(ctx, platform.Services, name)
 		if err != nil {
 			return err
 		}
-		if err := put(state, o); err != nil {
+		if err := addRecord(state, o); err != nil {
 			return err
 		}
 	}
 	return state.Check()
 }
 
-func listed(ctx context.Context, store platform.Store, state *config.State, missing []string) error {
-	wanted := map[string]bool{}
+func listRecords(ctx context.Context, store platform.Store, state *config.State, missing []string) error {
+	isMissing := map[string]bool{}
 	for _, name := range missing {
-		wanted[name] = true
+		isMissing[name] = true
 	}
 	list, err := store.List(ctx, platform.Services)
 	if err != nil {
 		return err
 	}
 	for _, o := range list.Items {
-		if !wanted[o.Metadata.Name] {
+		if !isMissing[o.Metadata.Name] {
 			continue
 		}
-		if err := put(state, o); err != nil {
+		if err := addRecord(state, o); err != nil {
 			return err
 		}
 	}
 	return state.Check()
 }
 
-func put(state *config.State, o platform.Object) error {
+func addRecord(state *config.State, o platform.Object) error {
 	record := &config.Service{}
 	if err := json.Unmarshal(o.Spec, record); err != nil {
 		return errs.Wrap(err)
@@ -174,8 +173,8 @@
 	return nil
 }
 
-// Commit brings the plan into force and returns the state that is in the
-// platform afterwards.
+// Commit puts the plan into effect and returns the state that the platform holds
+// afterwards.
 func Commit(ctx context.Context, store platform.Store, p *Plan) (*config.State, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -184,20 +183,20 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, done := current.Root.Find(p.ID); done {
+	if _, done := current.Root.FindChange(p.ID); done {
 		return current, nil
 	}
 	if current.Root.Version != p.Base {
-		return nil, stale(p, current)
+		return nil, staleError(p, current)
 	}
 	if err := writeRecords(ctx, store, current, &p.To); err != nil {
 		return nil, err
 	}
-	return settle(ctx, store, p, writeRoot(ctx, store, &p.To.Root, version))
+	return resolveOutcome(ctx, store, p, writeRoot(ctx, store, &p.To.Root, version))
 }
 
-// stale tells the operator what changed beneath the plan.
-func stale(p *Plan, current *config.State) error {
+// staleError returns an ErrStale that lists the changes made since the plan's base.
+func staleError(p *Plan, current *config.State) error {
 	var lines []string
 	for _, c := range current.Root.Changes {
 		if c.Version > p.Base {
@@ -209,33 +208,33 @@
 
 func writeRecords(ctx context.Context, store platform.Store, current, to *config.State) error {
 	for _, e := range to.Root.Services {
-		if current.Records[e.Record] != nil {
+		if current.Records[e.RecordName] != nil {
 			continue
 		}
-		_, err := store.Create(ctx, platform.Services, e.Record, to.Records[e.Record])
-		// The record is named by its content: one that is there already is
-		// this one, from an earlier try or a plan that was not approved.
+		_, err := store.Create(ctx, platform.Services, e.RecordName, to.Records[e.RecordName])
+		// The record is named by its content: an existing one is identical and comes
+		// from an earlier attempt or a plan that was not approved.
 		if err == nil || errors.Is(err, platform.ErrExists) {
 			continue
 		}
-		if err := lostRecord(ctx, store, e.Record, err); err != nil {
+		if err := confirmRecord(ctx, store, e.RecordName, err); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// lostRecord looks a record up whose write got no answer.
-func lostRecord(ctx context.Context, store platform.Store, name string, err error) error {
+// confirmRecord reads back a record if the response to its write was lost.
+func confirmRecord(ctx context.Context, store platform.Store, name string, err error) error {
 	if !errors.Is(err, platform.ErrUnknown) {
 		return err
 	}
-	for range readBacks {
+	for range maxReadAttempts {
 		if _, e := store.Get(ctx, platform.Services, name); e == nil {
 			return nil
 		}
 	}
-	return errs.Combine(ErrOpen, err)
+	return errs.Combine(ErrOutcomeUnknown, err)
 }
 
 func writeRoot(ctx context.Context, store platform.Store, root *config.Root, version uint64) error {
@@ -253,10 +252,10 @@
 	return err
 }
 
-// settle turns the outcome of the root's write into an answer that is certain
-// or says that it is not. A conflict may be this plan's own write, whose first
-// answer was lost on the way, so it is looked up as well.
-func settle(ctx context.Context, store platform.Store, p *Plan, err error) (*config.State, error) {
+// resolveOutcome determines whether the write of the root took effect, or returns
+// ErrOutcomeUnknown. A conflict may stem from this plan's own write whose response
+// was lost, so it is read back as well.
+func resolveOutcome(ctx context.Context, store platform.Store, p *Plan, err error) (*config.State, error) {
 	if err == nil {
 		return &p.To, nil
 	}
@@ -264,19 +263,19 @@
 	if !conflict && !errors.Is(err, platform.ErrUnknown) {
 		return nil, err
 	}
-	for range readBacks {
+	for range maxReadAttempts {
 		current, _, e := load(ctx, store, nil)
 		if e != nil {
 			continue
 		}
-		if _, done := current.Root.Find(p.ID); done {
+		if _, done := current.Root.FindChange(p.ID); done {
 			return current, nil
 		}
 		if conflict {
-			return nil, stale(p, current)
+			return nil, staleError(p, current)
 		}
-		// The root is not the plan's and the write's answer is lost: it may
-		// still be under way, so the outcome stays open.
+		// The root is not the plan's and the response to the write was lost: the
+		// write may still be in progress, so the outcome stays unknown.
 	}
-	return nil, errs.Combine(ErrOpen, err)
+	return nil, errs.Combine(ErrOutcomeUnknown, err)
 }
--- a/internal/version/approval/approval_test.go
+++ b/internal/version/approval/approval_test.go
@@ -40,16 +40,16 @@
 	return server, client, approval.NewPlan(base, &g.State, "mari", "now")
 }
 
-// The operator approves, the platform loses the answer to any one of the
-// writes after it took effect, and the operator approves the same plan again.
-// The change is in the configuration exactly once, whichever answer was lost.
+// The platform loses the response to one of an approval's writes after the write took
+// effect, and the operator approves the same plan again. The configuration must
+// contain the change exactly once, whichever response was lost.
 func TestLostAnswers(t *testing.T) {
 	for lost := range 3 {
 		server, client, plan := setup(t)
 		server.SetFaults(standin.Faults{LoseAnswers: lost})
 		for range 3 {
 			state, err := approval.Commit(t.Context(), client, plan)
-			if err != nil && !errors.Is(err, approval.ErrOpen) {
+			if err != nil && !errors.Is(err, approval.ErrOutcomeUnknown) {
 				t.Fatal(err)
 			}
 			if err == nil && state.Root.Version != 1 {
@@ -58,13 +58,13 @@
 		}
 		state, err := approval.Load(t.Context(), client)
 		if err != nil || len(state.Root.Changes) != 1 {
-			t.Errorf("%d answers lost: %d changes, %v", lost, len(state.Root.Changes), err)
+			t.Errorf("%d responses lost: %d changes, %v", lost, len(state.Root.Changes), err)
 		}
 	}
 }
 
-// Two operators approve plans on the same version at once. One wins; the other
-// is told what changed and overwrites nothing.
+// Several operators approve plans on the same version at once. One succeeds; the others
+// get ErrStale and overwrite nothing.
 func TestRace(t *testing.T) {
 	_, client, first := setup(t)
 	if _, err := approval.Commit(t.Context(), client, first); err != nil {
@@ -83,16 +83,16 @@
 			outcomes <- err
 		}()
 	}
-	won := 0
+	succeeded := 0
 	for range cap(outcomes) {
 		switch err := <-outcomes; {
 		case err == nil:
-			won++
+			succeeded++
 		case !errors.Is(err, approval.ErrStale):
 			t.Error(err)
 		}
 	}
-	if won != 1 {
-		t.Errorf("%d of the racing plans won", won)
+	if succeeded != 1 {
+		t.Errorf("%d of the concurrent plans succeeded, want 1", succeeded)
 	}
 }
--- a/internal/version/config/compare.go
+++ b/internal/version/config/compare.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Compare lists, one line each, how two states differ, for people.
+// Compare returns a human-readable list of the differences between two states,
+// one per line.
 func Compare(from, to *State) []string {
 	var lines []string
-	lines = append(lines, fields("timing", from.Root.Timing, to.Root.Timing)...)
+	lines = append(lines, compareFields("timing", from.Root.Timing, to.Root.Timing)...)
 	if !slices.Equal(from.Root.Domains, to.Root.Domains) {
 		lines = append(lines, fmt.Sprintf("~ domains: %v -> %v", from.Root.Domains, to.Root.Domains))
 	}
@@ -20,7 +21,7 @@
 			lines = append(lines, fmt.Sprintf("+ service %s at %s", e.Name, now.Address))
 			continue
 		}
-		lines = append(lines, fields("service "+e.Name, was, now)...)
+		lines = append(lines, compareFields("service "+e.Name, was, now)...)
 	}
 	for _, e := range from.Root.Services {
 		if _, ok := to.Service(e.Name); !ok {
@@ -40,10 +41,10 @@
 	return lines
 }
 
-// fields compares two records field by field, through their JSON form, so
-// that a new field cannot be left out of the comparison.
-func fields(what string, from, to any) []string {
-	a, b := flat(from), flat(to)
+// compareFields compares two records field by field, using their JSON encoding,
+// so that a new field cannot be left out of the comparison.
+func compareFields(what string, from, to any) []string {
+	a, b := jsonFields(from), jsonFields(to)
 	var names []string
 	for name := range b {
 		if a[name] != b[name] {
@@ -58,7 +59,7 @@
 	return lines
 }
 
-func flat(v any) map[string]string {
+func jsonFields(v any) map[string]string {
 	data, err := json.Marshal(v)
 	if err != nil {
 		// The records have no field that JSON cannot encode.
--- a/internal/version/config/config.go
+++ b/internal/version/config/config.go
@@ -1,21 +1,21 @@
-// Package config holds one version of the configuration: how it is generated
-// from answers, how two versions differ, and how one becomes the next.
+// Package config defines a version of the configuration: how it is generated
+// from answers, how two versions differ, and how a delta is applied.
 //
 // # The model
 //
 // A configuration is a Root and, for each service, an immutable Service
-// record that is named by its content. The platform keeps them as objects.
-// The root is the commit point: a change first writes the records that are
-// new, then replaces the root under the condition that it is still the one
-// the operator saw. A record without a root that names it is harmless.
+// record that is named by a hash of its content. The platform stores them as
+// objects. The root is the commit point: a change first writes the new records,
+// then replaces the root on condition that it has not changed since the operator
+// read it. A record that no root refers to is harmless.
 //
-// The root's version only grows, and every process takes only a higher one.
-// The root lists the identifiers of recent changes, so an operator whose
-// answer was lost reads the root back and sees whether the change is in it.
+// The root's version only increases, and every process accepts only a higher one.
+// The root lists the identifiers of recent changes, so that after a lost response
+// an operator can read the root and see whether the change took effect.
 //
-// For example, version 7 names quote-session@a81c. A change of its drain limit
-// writes record 77f0, then root 8 that names quote-session@77f0. A process
-// that holds 7 and hears of 8 needs one record and one root entry.
+// For example, version 7 refers to quote-session@a81c. A change of its drain
+// timeout writes record 77f0, then root 8, which refers to quote-session@77f0. A
+// process at version 7 needs one record and one root entry to reach version 8.
 package config
 
 import (
@@ -33,46 +33,47 @@
 
 // Errors of this package.
 var (
-	// ErrIncomplete means that a root names a record that is not at hand.
+	// ErrIncomplete means that a root refers to a record that the state lacks.
 	ErrIncomplete = errs.New("config: a service's record is missing")
-	// ErrBase means that a delta starts at another version.
-	ErrBase = errs.New("config: the delta starts at another version")
+	// ErrBaseVersion means that a delta does not start at the current version.
+	ErrBaseVersion = errs.New("config: delta does not start at the current version")
 )
 
-// keptChanges is how many changes the root remembers. An approval is settled
-// within minutes; at 1,100 changes a day these are the last five hours.
-const keptChanges = 256
+// maxChanges is how many changes the root retains. The outcome of an approval is
+// known within minutes; at 1,100 changes a day the list covers five hours.
+const maxChanges = 256
 
-// Service is what the system needs to know of one service.
+// Service is the configuration of one service.
 type Service struct {
 	Name      string         `json:"name"`
 	Number    uint32         `json:"number"`
 	Address   netip.AddrPort `json:"address"`
 	Upstreams []netip.Prefix `json:"upstreams"`
-	// Flows bounds the open flows of one target.
-	Flows int `json:"flows"`
-	Slots int `json:"slots"`
+	// MaxFlows bounds the open flows of one target.
+	MaxFlows int `json:"flows"`
+	Slots    int `json:"slots"`
 	// Times in milliseconds.
-	Idle    clock.Millis `json:"idle"`
-	Opening clock.Millis `json:"opening"`
-	Drain   clock.Millis `json:"drain"`
-	Ramp    clock.Millis `json:"ramp"`
-	Digest  clock.Millis `json:"digest"`
-	Resend  clock.Millis `json:"resend"`
+	IdleTimeout       clock.Millis `json:"idle"`
+	UnansweredTimeout clock.Millis `json:"opening"`
+	DrainTimeout      clock.Millis `json:"drain"`
+	RampTime          clock.Millis `json:"ramp"`
+	DigestInterval    clock.Millis `json:"digest"`
+	ResendWindow      clock.Millis `json:"resend"`
 }
 
-// Admits reports whether a target with that upstream address may serve.
-func (s *Service) Admits(upstream netip.Addr) bool {
+// AllowsUpstream reports whether a target with the given upstream address may
+// serve the service.
+func (s *Service) AllowsUpstream(upstream netip.Addr) bool {
 	return slices.ContainsFunc(s.Upstreams, func(p netip.Prefix) bool { return p.Contains(upstream) })
 }
 
-// Timing is what holds for the whole deployment, in milliseconds.
+// Timing holds the deployment-wide intervals and timeouts, in milliseconds.
 type Timing struct {
-	Heartbeat clock.Millis `json:"heartbeat"`
-	Suspect   clock.Millis `json:"suspect"`
-	Retain    clock.Millis `json:"retain"`
-	Linger    clock.Millis `json:"linger"`
-	Lease     clock.Millis `json:"lease"`
+	HeartbeatInterval clock.Millis `json:"heartbeat"`
+	SuspectTimeout    clock.Millis `json:"suspect"`
+	Retention         clock.Millis `json:"retain"`
+	LingerTime        clock.Millis `json:"linger"`
+	LeaseDuration     clock.Millis `json:"lease"`
 }
 
 // Domain is one failure domain.
@@ -81,14 +82,14 @@
 	Region string `json:"region"`
 }
 
-// Entry names the record of one service.
+// Entry refers to the record of one service.
 type Entry struct {
-	Name   string `json:"name"`
-	Number uint32 `json:"number"`
-	Record string `json:"record"`
+	Name       string `json:"name"`
+	Number     uint32 `json:"number"`
+	RecordName string `json:"record"`
 }
 
-// Drain is an operator's word that a target shall finish its flows.
+// Drain is an operator's request to drain a target.
 type Drain struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
@@ -99,7 +100,7 @@
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 	Author  string `json:"author"`
-	// Time is the operator's wall clock, for people only.
+	// Time is the operator's wall-clock time, for display only.
 	Time    string   `json:"time"`
 	Summary []string `json:"summary"`
 }
@@ -112,13 +113,13 @@
 	Timing     Timing   `json:"timing"`
 	Services   []Entry  `json:"services"`
 	Drains     []Drain  `json:"drains"`
-	// Next is the number of the next new service. Numbers are not reused,
+	// NextNumber is the number of the next new service. Numbers are not reused,
 	// so a late envelope of a removed service never reaches another one.
-	Next    uint32   `json:"next"`
-	Changes []Change `json:"changes"`
+	NextNumber uint32   `json:"next"`
+	Changes    []Change `json:"changes"`
 }
 
-// State is a root with all the records that it names.
+// State is a root with all records that it refers to.
 type State struct {
 	Root    Root                `json:"root"`
 	Records map[string]*Service `json:"records"`
@@ -143,17 +144,18 @@
 	if !ok {
 		return nil, false
 	}
-	r, ok := s.Records[s.Root.Services[i].Record]
+	r, ok := s.Records[s.Root.Services[i].RecordName]
 	return r, ok
 }
 
-// Draining reports an operator's word about a target.
+// Draining reports whether an operator requested that a target be drained.
 func (s *State) Draining(service, target string) bool {
 	return slices.Contains(s.Root.Drains, Drain{Service: service, Target: target})
 }
 
-// Find returns the change of that identifier, if the root remembers it.
-func (r *Root) Find(id string) (Change, bool) {
+// FindChange returns the change with the given identifier, if the root still
+// lists it.
+func (r *Root) FindChange(id string) (Change, bool) {
 	for _, c := range r.Changes {
 		if c.ID == id {
 			return c, true
@@ -162,18 +164,19 @@
 	return Change{}, false
 }
 
-// Succeed makes r the version after base, made by a change.
-func (r *Root) Succeed(base *Root, c Change) {
+// SetNextVersion makes r the version after base and appends the change c to the
+// changes of base.
+func (r *Root) SetNextVersion(base *Root, c Change) {
 	r.Version = base.Version + 1
 	c.Version = r.Version
 	changes := append(slices.Clone(base.Changes), c)
-	r.Changes = changes[max(0, len(changes)-keptChanges):]
+	r.Changes = changes[max(0, len(changes)-maxChanges):]
 }
 
-// Check reports a record that the root names and the state lacks.
+// Check returns ErrIncomplete if the root refers to a record that the state lacks.
 func (s *State) Check() error {
 	for _, e := range s.Root.Services {
-		if _, ok := s.Records[e.Record]; !ok {
+		if _, ok := s.Records[e.RecordName]; !ok {
 			return ErrIncomplete
 		}
 	}
--- a/internal/version/config/drain.go
+++ b/internal/version/config/drain.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// WithDrain returns the state with an operator's word about one target added
-// or taken back. The state itself stays as it is.
+// WithDrain returns a copy of the state in which one target's drain request is
+// added or removed. The state itself is not modified.
 func WithDrain(s *State, d Drain, on bool) *State {
 	next := &State{Root: s.Root, Records: s.Records}
 	next.Root.Drains = slices.DeleteFunc(slices.Clone(s.Root.Drains), func(o Drain) bool { return o == d })
--- a/internal/version/evacuation/snapshot.go
+++ b/internal/version/evacuation/snapshot.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// mostDomains bounds the failure domains of a snapshot: anybody may send one, and an
-// operator may order what is not there.
-const mostDomains = 256
+// maxDomains bounds the failure domains of a snapshot: any process may send one, and an
+// operator may name domains that do not exist.
+const maxDomains = 256
 
-// Snapshot is the evacuations in force at a revision of the platform's store.
+// Snapshot holds the evacuations in effect at a revision of the platform's store.
 type Snapshot struct {
-	// Revision is zero where nothing is known.
+	// Revision is zero if nothing is known.
 	Revision uint64
-	// Domains are sorted.
+	// Domains is sorted.
 	Domains []string
 }
 
-// New returns the snapshot of a revision.
+// New returns a snapshot with at most maxDomains domains, sorted and without duplicates.
 func New(revision uint64, domains []string) Snapshot {
 	all := slices.Compact(slices.Sorted(slices.Values(domains)))
-	return Snapshot{Revision: revision, Domains: all[:min(len(all), mostDomains)]}
+	return Snapshot{Revision: revision, Domains: all[:min(len(all), maxDomains)]}
 }
 
-// Known reports whether anything is known of evacuations, be it that there is none.
+// Known reports whether the evacuations are known, even if there are none.
 func (s Snapshot) Known() bool {
 	return s.Revision != 0
 }
@@ -34,21 +34,21 @@
 	return found
 }
 
-// Change is an order that was given, or withdrawn.
+// Change is an evacuation that was added or removed.
 type Change struct {
-	Domain    string
-	Withdrawn bool
+	Domain  string
+	Removed bool
 }
 
-// After returns the snapshot with the changes that followed it, in their order, up to a
-// revision.
-func (s Snapshot) After(revision uint64, changes []Change) Snapshot {
+// Apply returns the snapshot at a later revision, given the changes up to that revision
+// in order.
+func (s Snapshot) Apply(revision uint64, changes []Change) Snapshot {
 	domains := map[string]bool{}
 	for _, d := range s.Domains {
 		domains[d] = true
 	}
 	for _, c := range changes {
-		if c.Withdrawn {
+		if c.Removed {
 			delete(domains, c.Domain)
 			continue
 		}
@@ -57,29 +57,29 @@
 	return New(max(s.Revision, revision), slices.Collect(maps.Keys(domains)))
 }
 
-// Difference is what a later snapshot changes.
+// Difference lists the domains in which two snapshots differ.
 type Difference struct {
-	Ordered   []string
-	Withdrawn []string
+	Added   []string
+	Removed []string
 }
 
-// Any reports whether anything is different.
-func (d Difference) Any() bool {
-	return len(d.Ordered)+len(d.Withdrawn) > 0
+// HasChanges reports whether any domain was added or removed.
+func (d Difference) HasChanges() bool {
+	return len(d.Added)+len(d.Removed) > 0
 }
 
-// Take replaces the snapshot by a later one, and returns what that changes. One that is
-// not later changes nothing.
-func (s *Snapshot) Take(later Snapshot) Difference {
+// Update replaces the snapshot with a later one and returns the difference. A snapshot
+// whose revision is not higher is ignored.
+func (s *Snapshot) Update(later Snapshot) Difference {
 	if later.Revision <= s.Revision {
 		return Difference{}
 	}
-	d := Difference{Ordered: without(later.Domains, *s), Withdrawn: without(s.Domains, later)}
+	d := Difference{Added: domainsNotIn(later.Domains, *s), Removed: domainsNotIn(s.Domains, later)}
 	*s = later
 	return d
 }
 
-func without(domains []string, s Snapshot) []string {
+func domainsNotIn(domains []string, s Snapshot) []string {
 	var rest []string
 	for _, d := range domains {
 		if !s.Has(d) {
--- a/internal/version/routing/routing.go
+++ b/internal/version/routing/routing.go
@@ -1,20 +1,20 @@
-// Package routing is one version of the rules that bring new flows to services.
+// Package routing defines the rules that assign new flows to services.
 //
 // # The model
 //
-// A listener is an address that callers open flows to. It goes to one service
-// or is split between several by weights. A Table is a version of all
-// listeners; it is immutable and carries a number that only grows. Open flows
-// stay with the service that they were opened at, whatever later versions say.
+// A listener is an address to which callers open flows. It routes them to one
+// service or splits them between several by weight. A Table is a version of all
+// listeners; it is immutable and has a version number that only increases. Open
+// flows stay with the service at which they were opened, whatever later versions say.
 //
-// For example, a listener with 90 parts for "quotes" and 10 for "drawings"
-// sends a tenth of its new flows to "drawings". Which tenth depends on the
-// flow's addresses only, so all copies of one opening go to the same service.
+// For example, a listener with weight 90 for "quotes" and 10 for "drawings"
+// sends a tenth of its new flows to "drawings". The choice depends only on the
+// flow's addresses, so all copies of an opening packet go to the same service.
 //
 // # Usage
 //
 //	t := &routing.Table{Version: 7, Listeners: listeners}
-//	service, err := t.Pick(flow)
+//	service, err := t.PickService(flow)
 package routing
 
 import (
@@ -35,77 +35,77 @@
 	ErrInvalid    = errs.New("routing: invalid table")
 )
 
-// Share is a service's part of a listener's new flows.
+// Share is a service's share of a listener's new flows.
 type Share struct {
 	Service string `json:"service"`
 	Weight  uint32 `json:"weight"`
 }
 
-// Listener is one address that callers open flows to.
+// Listener is an address to which callers open flows.
 type Listener struct {
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
 	Shares  []Share        `json:"shares"`
-	// Homes are the regions in which its flows may be opened; any if there are none.
-	Homes []string `json:"homes,omitempty"`
+	// HomeRegions are the regions in which its flows may be opened; empty means any.
+	HomeRegions []string `json:"homes,omitempty"`
 }
 
-// Service is what a version says of a service.
+// Service holds a table's settings for a service.
 type Service struct {
 	Name string `json:"name"`
-	// Warming is how many openings a second a target bears while it is slow after its
-	// start; zero for no bound.
-	Warming int `json:"warming,omitempty"`
+	// WarmingRate is how many openings per second a target accepts during its cold
+	// start; zero means no limit.
+	WarmingRate int `json:"warming,omitempty"`
 }
 
-// Table is one version.
+// Table is one version of the routing rules.
 type Table struct {
 	Version uint64 `json:"version"`
-	// Revision is the platform's revision of the object that the version was
-	// read from; a watch goes on from there.
-	Revision  uint64       `json:"revision"`
-	Listeners []Listener   `json:"listeners"`
-	Idle      clock.Millis `json:"idle"`
-	// Services are those of which more than the name is known.
+	// Revision is the platform's revision of the object from which the table was
+	// read; a watch resumes after it.
+	Revision    uint64       `json:"revision"`
+	Listeners   []Listener   `json:"listeners"`
+	IdleTimeout clock.Millis `json:"idle"`
+	// Services lists the services that have settings besides their name.
 	Services []Service `json:"services,omitempty"`
 
-	index   map[netip.AddrPort]*Listener
-	warming map[string]int
+	byAddress    map[netip.AddrPort]*Listener
+	warmingRates map[string]int
 }
 
-// Check reports the first mistake of a table and makes its index.
+// Check returns the first error in a table and builds its index.
 func (t *Table) Check() error {
 	if t.Version == 0 {
 		return fmt.Errorf("%w: no version", ErrInvalid)
 	}
-	t.index = make(map[netip.AddrPort]*Listener, len(t.Listeners))
+	t.byAddress = make(map[netip.AddrPort]*Listener, len(t.Listeners))
 	for i := range t.Listeners {
 		l := &t.Listeners[i]
 		if err := l.check(); err != nil {
 			return err
 		}
-		t.index[l.Address] = l
+		t.byAddress[l.Address] = l
 	}
-	t.warming = make(map[string]int, len(t.Services))
+	t.warmingRates = make(map[string]int, len(t.Services))
 	for _, s := range t.Services {
-		if s.Warming < 0 {
-			return fmt.Errorf("%w: service %q bears %d openings a second", ErrInvalid, s.Name, s.Warming)
+		if s.WarmingRate < 0 {
+			return fmt.Errorf("%w: service %q accepts %d openings per second", ErrInvalid, s.Name, s.WarmingRate)
 		}
-		t.warming[s.Name] = s.Warming
+		t.warmingRates[s.Name] = s.WarmingRate
 	}
 	return nil
 }
 
-// Warming returns how many openings a second a target of a service bears while it is slow
-// after its start, or zero for no bound.
-func (t *Table) Warming(service string) int {
-	return t.warming[service]
+// WarmingRate returns how many openings per second a target of a service accepts during
+// its cold start, or zero for no limit.
+func (t *Table) WarmingRate(service string) int {
+	return t.warmingRates[service]
 }
 
-// Homes returns the regions in which a flow may be opened; any if there are none.
-func (t *Table) Homes(f segment.Flow) []string {
-	if l, ok := t.index[f.Listener]; ok {
-		return l.Homes
+// HomeRegions returns the regions in which a flow may be opened; empty means any.
+func (t *Table) HomeRegions(f segment.Flow) []string {
+	if l, ok := t.byAddress[f.Listener]; ok {
+		return l.HomeRegions
 	}
 	return nil
 }
@@ -129,20 +129,20 @@
 
 // Listener returns the listener at an address.
 func (t *Table) Listener(a netip.AddrPort) (*Listener, bool) {
-	l, ok := t.index[a]
+	l, ok := t.byAddress[a]
 	return l, ok
 }
 
-// Pick returns the service of a new flow.
-func (t *Table) Pick(f segment.Flow) (string, error) {
-	l, ok := t.index[f.Listener]
+// PickService returns the service for a new flow.
+func (t *Table) PickService(f segment.Flow) (string, error) {
+	l, ok := t.byAddress[f.Listener]
 	if !ok {
 		return "", ErrNoListener
 	}
-	return l.pick(f), nil
+	return l.pickService(f), nil
 }
 
-func (l *Listener) pick(f segment.Flow) string {
+func (l *Listener) pickService(f segment.Flow) string {
 	if len(l.Shares) == 1 {
 		return l.Shares[0].Service
 	}
@@ -161,41 +161,41 @@
 	return l.Shares[0].Service
 }
 
-// History remembers which services each listener went to, for as long as a
-// flow may live. It belongs to one process.
+// History records the services to which each listener has routed, for as long as a
+// flow may stay open. It is local to one process.
 //
-// A version may change a listener's service while flows are open. Packets of such a flow
-// whose owner is not known are searched in the services of before as well.
+// A new version may change a listener's service while flows are open. If the owner of
+// such a flow is unknown, it is searched for in the listener's former services as well.
 type History struct {
-	// Keep is how long a flow may live.
-	Keep    clock.Millis
-	present *Table
-	known   map[netip.AddrPort]map[string]clock.Millis
+	// FlowTTL is how long a flow may stay open.
+	FlowTTL  clock.Millis
+	current  *Table
+	lastUsed map[netip.AddrPort]map[string]clock.Millis
 }
 
 // NewHistory returns an empty history.
 func NewHistory(keep time.Duration) *History {
-	return &History{Keep: clock.Of(keep), known: map[netip.AddrPort]map[string]clock.Millis{}}
+	return &History{FlowTTL: clock.Of(keep), lastUsed: map[netip.AddrPort]map[string]clock.Millis{}}
 }
 
-// Note takes a version that comes into force. The one before it was in force
-// until this moment.
-func (h *History) Note(now clock.Millis, t *Table) {
-	if h.present != nil {
-		h.date(now, h.present)
+// SetCurrent records that a version takes effect now. The previous version was in
+// effect until this moment.
+func (h *History) SetCurrent(now clock.Millis, t *Table) {
+	if h.current != nil {
+		h.markUsed(now, h.current)
 	}
-	h.present = t
-	h.date(now, t)
-	h.expire(now, t)
+	h.current = t
+	h.markUsed(now, t)
+	h.removeExpired(now, t)
 }
 
-func (h *History) date(now clock.Millis, t *Table) {
+func (h *History) markUsed(now clock.Millis, t *Table) {
 	for i := range t.Listeners {
 		l := &t.Listeners[i]
-		services := h.known[l.Address]
+		services := h.lastUsed[l.Address]
 		if services == nil {
 			services = map[string]clock.Millis{}
-			h.known[l.Address] = services
+			h.lastUsed[l.Address] = services
 		}
 		for _, s := range l.Shares {
 			if s.Weight > 0 {
@@ -205,26 +205,26 @@
 	}
 }
 
-// expire forgets what no open flow can have come from. What the present version
-// names was noted just now, so it stays.
-func (h *History) expire(now clock.Millis, t *Table) {
-	for a, services := range h.known {
-		if _, present := t.index[a]; present && len(services) == 1 {
+// removeExpired removes the services at which no open flow can have been opened. Those
+// of the current version were marked used just now and stay.
+func (h *History) removeExpired(now clock.Millis, t *Table) {
+	for a, services := range h.lastUsed {
+		if _, present := t.byAddress[a]; present && len(services) == 1 {
 			continue
 		}
 		for name, last := range services {
-			if now.Sub(last) > h.Keep {
+			if now.Sub(last) > h.FlowTTL {
 				delete(services, name)
 			}
 		}
 		if len(services) == 0 {
-			delete(h.known, a)
+			delete(h.lastUsed, a)
 		}
 	}
 }
 
-// Allows reports whether a flow of the listener may belong to the service.
+// Allows reports whether an open flow of the listener may belong to the service.
 func (h *History) Allows(a netip.AddrPort, service string) bool {
-	_, ok := h.known[a][service]
+	_, ok := h.lastUsed[a][service]
 	return ok
 }
