--- a/cmd/wagtailtrayd/balancer.go
+++ b/cmd/wagtailtrayd/balancer.go
@@ -81,7 +81,7 @@
 	settings := balancer.Settings{
 		Name: c.Name, Domain: c.Domain, Control: c.Control.value, Tunnel: c.Tunnel.value, Ports: c.Ports.value,
 		Edge: c.Edge.value, Peers: peers, Workers: c.Workers.value, MTU: c.MTU.value,
-		Limits: target.Limits{Hints: c.Hints.value, Pending: c.Pending.value, Walks: c.Walks.value},
+		Limits: target.Limits{MaxHints: c.Hints.value, MaxPending: c.Pending.value, WalksPerSecond: c.Walks.value},
 	}
 	deps := balancer.Deps{
 		Ring: ring, Store: platform.NewClient(c.Platform.value.String()), Clock: clock.System(), Log: c.logger("balancer"),
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -190,7 +190,7 @@
 	}
 	b, err := balancer.New(balancer.Settings{
 		Name: fmt.Sprintf("balancer-%03d", i), Domain: domainOf(i), Control: any0, Tunnel: local,
-		Ports: 1, Peers: peers, Workers: 1, MTU: 1500, Limits: target.Limits{Hints: 64, Pending: 64, Walks: 1},
+		Ports: 1, Peers: peers, Workers: 1, MTU: 1500, Limits: target.Limits{MaxHints: 64, MaxPending: 64, WalksPerSecond: 1},
 	}, balancer.Deps{
 		Ring: f.ring, Store: f.store, Clock: clock.System(), Log: zerolog.New(&f.warnings).Level(zerolog.WarnLevel), Scope: tally.NoopScope, Listen: noEdges,
 		Caller: caller, OnVersion: func(v uint64) { f.saw(i, v) },
@@ -264,7 +264,7 @@
 	m := &f.targets[i]
 	service, _ := f.state.Service(m.Service)
 	return &wire.Envelope{
-		Kind: wire.Kind_KIND_BEAT, Service: service.Number, Target: target.IDOf(m.Name), Incarnation: m.Incarnation,
+		Kind: wire.Kind_KIND_BEAT, Service: service.Number, Target: target.IDFromName(m.Name), Incarnation: m.Incarnation,
 		Beat: &wire.Beat{Number: number, Incarnation: 1, Sequence: 1, View: 1 << 60, Version: 1, Flows: 2364, Slots: 4},
 	}
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -153,7 +153,7 @@
 
 func hintBytes(n int) (float64, error) {
 	return grown(func() (any, error) {
-		h := target.NewHints(target.Limits{Hints: 2 * n, Pending: 1, Walks: 1})
+		h := target.NewHints(target.Limits{MaxHints: 2 * n, MaxPending: 1, WalksPerSecond: 1})
 		for i := range n {
 			a := caller(i)
 			h.Confirm(clock.Hour, 1, a, envelope.AppendCaller(nil, a), 7, 1)
@@ -164,7 +164,7 @@
 
 // table fills an agent's table with flows over a dialer.
 func table(n int, dialer owner.Dialer) *owner.Table {
-	id := target.IDOf("a")
+	id := target.IDFromName("a")
 	set := target.NewSet(1, []target.Candidate{{ID: id, Name: "a", Incarnation: 1}})
 	view := owner.NewObserver(id).View(0, set, 1, clock.Second)
 	t := owner.NewTable(owner.Limits{Flows: n + 1, Memory: 1000, Idle: clock.Hour, Opening: clock.Hour}, owner.NewLoads(clock.Hour))
@@ -382,7 +382,7 @@
 // headers of UDP and IPv4.
 func SealedSize(e *wire.Envelope) float64 {
 	const headers = 28
-	return float64(e.SizeVT() + envelope.Trailer + headers)
+	return float64(e.SizeVT() + envelope.TrailerSize + headers)
 }
 
 // echo answers comparisons as a balancer does whose tables are the same.
--- a/internal/capacity/subjects.go
+++ b/internal/capacity/subjects.go
@@ -29,7 +29,7 @@
 	}
 	return balancer.New(balancer.Settings{
 		Name: "b", Domain: "d0", Control: any0, Tunnel: local, Ports: 1, Workers: 1, MTU: 1500,
-		Limits: target.Limits{Hints: 64, Pending: 64, Walks: 1},
+		Limits: target.Limits{MaxHints: 64, MaxPending: 64, WalksPerSecond: 1},
 	}, deps)
 }
 
--- a/internal/connection/owner/bench_test.go
+++ b/internal/connection/owner/bench_test.go
@@ -15,7 +15,7 @@
 
 // filled returns a table with n flows, and how many bytes of memory it takes.
 func filled(n int) (*owner.Table, *owner.View, *agent, uint64) {
-	a := &agent{id: target.IDOf("a"), own: owner.Own{Accepting: true, Warmth: 1000}}
+	a := &agent{id: target.IDFromName("a"), own: owner.Own{Accepting: true, Warmth: 1000}}
 	a.seen = owner.NewObserver(a.id)
 	a.view = a.seen.View(0, target.NewSet(1, candidates([]string{"a"}, nil)), 1, window)
 	before := heap()
--- a/internal/connection/owner/decide.go
+++ b/internal/connection/owner/decide.go
@@ -113,7 +113,7 @@
 	if e.Service != view.Set.Service || e.Target != view.Self || e.Incarnation > view.Incarnation {
 		return Decision{Reason: Misaddressed}
 	}
-	caller := envelope.Caller(e.Caller)
+	caller := envelope.ParseCaller(e.Caller)
 	p := &packet{
 		now: a.Now, e: e, caller: caller, view: view, own: own,
 		dialer: dialer, random: a.Random, via: a.Via, shard: t.shard(caller),
--- a/internal/connection/owner/loads.go
+++ b/internal/connection/owner/loads.go
@@ -124,7 +124,7 @@
 	homes := v.homes()
 	for i := range v.Set.Targets {
 		c := &v.Set.Targets[i]
-		if !c.Opens() || slices.Contains(skip, c.ID) {
+		if !c.AcceptsFlows() || slices.Contains(skip, c.ID) {
 			continue
 		}
 		rank := mix(random, c.ID)
@@ -183,7 +183,7 @@
 func (v *View) homes() int {
 	n := 0
 	for i := range v.Set.Targets {
-		if v.Set.Targets[i].Opens() {
+		if v.Set.Targets[i].AcceptsFlows() {
 			n++
 		}
 	}
--- a/internal/connection/owner/observer.go
+++ b/internal/connection/owner/observer.go
@@ -26,7 +26,7 @@
 // even where nothing else is different: the target may have been a home for a
 // moment, in the eyes of others, between two looks of this process.
 func (s *seen) differs(c *target.Candidate) bool {
-	return s.incarnation != c.Incarnation || s.sequence != c.Sequence || s.opens != c.Opens()
+	return s.incarnation != c.Incarnation || s.sequence != c.Sequence || s.opens != c.AcceptsFlows()
 }
 
 // longAgo dates what was there before the observer. The clock of a process
@@ -50,7 +50,7 @@
 		c := &set.Targets[i]
 		old, ok := o.known[c.ID]
 		if !ok || old.differs(c) {
-			old = seen{incarnation: c.Incarnation, sequence: c.Sequence, opens: c.Opens(), at: now}
+			old = seen{incarnation: c.Incarnation, sequence: c.Sequence, opens: c.AcceptsFlows(), at: now}
 			if first && c.ID != o.self {
 				old.at = longAgo
 			}
--- a/internal/connection/owner/opening_test.go
+++ b/internal/connection/owner/opening_test.go
@@ -64,7 +64,7 @@
 func candidates(names []string, change func(*target.Candidate)) []target.Candidate {
 	var all []target.Candidate
 	for _, name := range names {
-		c := target.Candidate{ID: target.IDOf(name), Name: name, Incarnation: 1}
+		c := target.Candidate{ID: target.IDFromName(name), Name: name, Incarnation: 1}
 		if change != nil {
 			change(&c)
 		}
--- a/internal/connection/owner/view.go
+++ b/internal/connection/owner/view.go
@@ -78,7 +78,7 @@
 	}
 	for i := range v.Set.Targets {
 		if v.Set.Targets[i].ID == id {
-			return v.Set.Targets[i].Opens() && now.Sub(v.Changed[i]) > v.Window
+			return v.Set.Targets[i].AcceptsFlows() && now.Sub(v.Changed[i]) > v.Window
 		}
 	}
 	return false
--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -151,7 +151,7 @@
 		return
 	}
 	if end == nil || s.Ack != end.seq+1 {
-		w.after(0, func() { w.agentTakes(a, mark(packet, s.Echo, true)) })
+		w.after(0, func() { w.agentTakes(a, mark(packet, s.Mark, true)) })
 		return
 	}
 	if !end.open {
--- a/internal/connection/stream/hold.go
+++ b/internal/connection/stream/hold.go
@@ -317,7 +317,7 @@
 func (h *Holder) returned(now clock.Millis, seg *segment.Segment, packet []byte) {
 	h.upstream.pending = 0
 	id := seg.FromCaller()
-	to := h.sender(seg.Echo)
+	to := h.sender(seg.Mark)
 	if seg.Opening() {
 		if f, ok := h.flows.Peek(id); ok && !f.open {
 			h.flows.Remove(id)
--- a/internal/connection/stream/parcels_test.go
+++ b/internal/connection/stream/parcels_test.go
@@ -55,7 +55,7 @@
 	id := r.flow()
 	return &segment.Segment{
 		Source: id.Caller, Destination: id.Listener, Flags: flags[r.IntN(len(flags))], Seq: r.Uint32(),
-		Ack: r.Uint32(), Echo: r.Uint32() >> r.IntN(32), Size: r.IntN(2) * 100,
+		Ack: r.Uint32(), Mark: r.Uint32() >> r.IntN(32), Size: r.IntN(2) * 100,
 	}
 }
 
--- a/internal/connection/stream/world_test.go
+++ b/internal/connection/stream/world_test.go
@@ -240,7 +240,7 @@
 	b = append(b, byte(s.Flags))
 	b = binary.BigEndian.AppendUint32(b, s.Seq)
 	b = binary.BigEndian.AppendUint32(b, s.Ack)
-	b = binary.BigEndian.AppendUint32(b, s.Echo)
+	b = binary.BigEndian.AppendUint32(b, s.Mark)
 	return binary.BigEndian.AppendUint32(b, uint32(s.Size))
 }
 
@@ -249,13 +249,13 @@
 	s.Source, _ = segment.ParseAddress(b[:6])
 	s.Destination, _ = segment.ParseAddress(b[6:12])
 	s.Seq, s.Ack = binary.BigEndian.Uint32(b[13:]), binary.BigEndian.Uint32(b[17:])
-	s.Echo, s.Size = binary.BigEndian.Uint32(b[21:]), int(binary.BigEndian.Uint32(b[25:]))
+	s.Mark, s.Size = binary.BigEndian.Uint32(b[21:]), int(binary.BigEndian.Uint32(b[25:]))
 	return s
 }
 
 func mark(b []byte, echo uint32, returned bool) []byte {
 	s := decode(b)
-	s.Echo = echo
+	s.Mark = echo
 	s.Flags &^= segment.Returned
 	if returned {
 		s.Flags |= segment.Returned
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -180,11 +180,11 @@
 		lines: deps.Log.Sample(&zerolog.BurstSampler{Burst: mostLines, Period: time.Second}),
 		held:  make(chan held, mostHeld), confirmations: make(chan struct{}, 1), closing: make(chan struct{}),
 		client: client, refused: refused,
-		sealer:   envelope.NewSealer(deps.Ring, envelope.Room(settings.MTU, settings.Tunnel.Addr())),
-		observer: owner.NewObserver(target.IDOf(settings.Name)), kept: map[string]keptLedger{}, fatal: make(chan error, 1), differs: make(chan struct{}, 1),
+		sealer:   envelope.NewSealer(deps.Ring, envelope.MaxSize(settings.MTU, settings.Tunnel.Addr())),
+		observer: owner.NewObserver(target.IDFromName(settings.Name)), kept: map[string]keptLedger{}, fatal: make(chan error, 1), differs: make(chan struct{}, 1),
 	}
 	a.buffers.New = func() any {
-		b := make([]byte, 0, envelope.MaxDatagram)
+		b := make([]byte, 0, envelope.MaxDatagramSize)
 		return &b
 	}
 	return a, nil
--- a/internal/process/agent/beat.go
+++ b/internal/process/agent/beat.go
@@ -106,7 +106,7 @@
 		Version: a.version, Flows: uint32(own.Flows), Busy: own.Busy, Slots: own.Slots,
 	}
 	e := &wire.Envelope{
-		Kind: wire.Kind_KIND_BEAT, Service: a.record.Number, Target: target.IDOf(a.settings.Name),
+		Kind: wire.Kind_KIND_BEAT, Service: a.record.Number, Target: target.IDFromName(a.settings.Name),
 		Incarnation: a.self.Incarnation, Beat: b,
 	}
 	a.mu.Unlock()
--- a/internal/process/agent/hold.go
+++ b/internal/process/agent/hold.go
@@ -28,7 +28,7 @@
 // flow is dropped: it may be as old as the pause, and its home have placed the flow
 // elsewhere since.
 func (a *Agent) holdBack(w *worker, now clock.Millis, from netip.AddrPort) {
-	caller := envelope.Caller(w.envelope.Caller)
+	caller := envelope.ParseCaller(w.envelope.Caller)
 	if !a.table.Owns(caller) {
 		a.count.fenced.Inc(1)
 		return
--- a/internal/process/agent/hold_test.go
+++ b/internal/process/agent/hold_test.go
@@ -56,7 +56,7 @@
 func (p *paused) read(caller string, stage wire.Stage) {
 	p.t.Helper()
 	out, err := p.sealer.Seal(nil, &wire.Envelope{
-		Kind: wire.Kind_KIND_FORWARD, Stage: stage, Service: 1, Target: target.IDOf("t1"), Incarnation: 4,
+		Kind: wire.Kind_KIND_FORWARD, Stage: stage, Service: 1, Target: target.IDFromName("t1"), Incarnation: 4,
 		Caller: envelope.AppendCaller(nil, netip.MustParseAddrPort(caller)), Budget: 9, Payload: []byte{0xc0},
 	})
 	if err != nil {
--- a/internal/process/agent/tunnel.go
+++ b/internal/process/agent/tunnel.go
@@ -17,7 +17,7 @@
 
 // worker holds what one envelope needs, and is used for the next one again.
 type worker struct {
-	in       [envelope.MaxDatagram]byte
+	in       [envelope.MaxDatagramSize]byte
 	size     int
 	out      []byte
 	via      []byte
@@ -30,7 +30,7 @@
 	if err != nil {
 		return errs.Wrap(err)
 	}
-	_ = conn.SetReadBuffer(envelope.SocketBuffer)
+	_ = conn.SetReadBuffer(envelope.SocketBufferSize)
 	a.tunnel = conn
 	return nil
 }
@@ -51,7 +51,7 @@
 }
 
 func (a *Agent) newWorker() *worker {
-	return &worker{out: make([]byte, 0, envelope.MaxDatagram), opener: envelope.NewOpener(a.deps.Ring)}
+	return &worker{out: make([]byte, 0, envelope.MaxDatagramSize), opener: envelope.NewOpener(a.deps.Ring)}
 }
 
 // take does what the datagram in a worker's buffer asks for.
@@ -106,7 +106,7 @@
 	e := &w.envelope
 	via := from
 	if len(e.Via) > 0 {
-		via = envelope.Caller(e.Via)
+		via = envelope.ParseCaller(e.Via)
 	}
 	view := a.view.Load()
 	arrival := owner.Arrival{Now: now, Envelope: e, Via: via, Random: rand.Float64()}
@@ -119,11 +119,11 @@
 	d := a.table.Take(arrival, view, own, a.pool)
 	if len(e.Trace) > 0 {
 		e.Trace = a.deps.Tracer.Hop(e.Trace, "agent."+d.Action.String(), trace.Hop{
-			Service: e.Service, Target: view.Self, Caller: envelope.Caller(e.Caller).String(), Outcome: string(d.Reason),
+			Service: e.Service, Target: view.Self, Caller: envelope.ParseCaller(e.Caller).String(), Outcome: string(d.Reason),
 		})
 	}
 	if d.Outlived > 0 {
-		a.outlived(envelope.Caller(e.Caller), d.Outlived)
+		a.outlived(envelope.ParseCaller(e.Caller), d.Outlived)
 	}
 	a.act(w, d, via)
 }
@@ -141,10 +141,10 @@
 		return
 	}
 	if e.Kind == wire.Kind_KIND_ENDED {
-		a.table.Ended(envelope.Caller(e.Caller), e.Home)
+		a.table.Ended(envelope.ParseCaller(e.Caller), e.Home)
 		return
 	}
-	a.table.Found(now, envelope.Caller(e.Caller), e.Home)
+	a.table.Found(now, envelope.ParseCaller(e.Caller), e.Home)
 }
 
 // addressed reports that an envelope is for this target and incarnation. One
@@ -227,7 +227,7 @@
 }
 
 func (a *Agent) refuse(w *worker, via netip.AddrPort) {
-	caller := envelope.Caller(w.envelope.Caller)
+	caller := envelope.ParseCaller(w.envelope.Caller)
 	a.refused.Add(caller, via)
 	if !a.refuser.Refuse(caller, w.envelope.Payload) {
 		a.count.dropped[owner.NoTarget].Inc(1)
--- a/internal/process/agent/view.go
+++ b/internal/process/agent/view.go
@@ -153,7 +153,7 @@
 
 func (a *Agent) candidate(m *member.Member) target.Candidate {
 	return target.Candidate{
-		ID: target.IDOf(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
+		ID: target.IDFromName(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
 		Draining: m.State != member.Alive, Suspected: m.Suspected,
 	}
 }
--- a/internal/process/balancer/balancer.go
+++ b/internal/process/balancer/balancer.go
@@ -146,7 +146,7 @@
 	b := &Balancer{
 		settings: settings, deps: deps, count: newCounters(deps.Scope),
 		hints:  target.NewHints(settings.Limits),
-		sealer: envelope.NewSealer(deps.Ring, envelope.Room(settings.MTU, settings.Tunnel)-envelope.WalkRoom),
+		sealer: envelope.NewSealer(deps.Ring, envelope.MaxSize(settings.MTU, settings.Tunnel)-envelope.WalkReserve),
 		book:   spread.NewReplica(), table: member.NewTable(),
 		heard: map[member.Key]*contact{}, byBeat: map[beaten]member.Key{}, serviceChanged: map[string]uint64{}, edges: map[uint32]*edge{},
 		client: client, news: make(chan news, newsQueue), beats: make(chan arrived, beatQueue),
--- a/internal/process/balancer/edge.go
+++ b/internal/process/balancer/edge.go
@@ -30,14 +30,14 @@
 
 // worker holds what one datagram needs, and is used for the next one again.
 type worker struct {
-	in       [envelope.MaxDatagram]byte
+	in       [envelope.MaxDatagramSize]byte
 	out      []byte
 	caller   []byte
 	envelope wire.Envelope
 }
 
 func newWorker() *worker {
-	return &worker{out: make([]byte, 0, envelope.MaxDatagram), caller: make([]byte, 0, 18)}
+	return &worker{out: make([]byte, 0, envelope.MaxDatagramSize), caller: make([]byte, 0, 18)}
 }
 
 // bind makes the edges those of a configuration. It runs with mu held.
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	_ = conn.SetReadBuffer(envelope.SocketBuffer)
+	_ = conn.SetReadBuffer(envelope.SocketBufferSize)
 	return conn, nil
 }
 
@@ -135,7 +135,7 @@
 		return
 	}
 	w.caller = envelope.AppendCaller(w.caller[:0], from)
-	opening := quic.Opening(datagram)
+	opening := quic.MayOpenFlow(datagram)
 	route, ok := b.hints.Route(b.deps.Clock.Now(), set, from, w.caller, opening)
 	if !ok {
 		b.count.untargeted.Inc(1)
@@ -155,8 +155,8 @@
 // is answered.
 func (b *Balancer) watchPath(r *target.Route) {
 	now := b.deps.Clock.Now()
-	changed := r.Silent != 0 && b.paths.Change(now, r.Silent)
-	if r.Ask && b.paths.Asked(now, r.Target.ID) || changed {
+	changed := r.SilentTarget != 0 && b.paths.ChangePort(now, r.SilentTarget)
+	if r.Ask && b.paths.RecordAsk(now, r.Target.ID) || changed {
 		b.count.rotated.Inc(1)
 	}
 }
--- a/internal/process/balancer/relay_test.go
+++ b/internal/process/balancer/relay_test.go
@@ -32,7 +32,7 @@
 	}
 	b, err := New(Settings{
 		Name: "b1", Domain: "a", Control: anyPort, Tunnel: local, Ports: 2, Workers: 2, MTU: 1500,
-		Limits: target.Limits{Hints: 1 << 16, Pending: 1 << 10, Walks: 1 << 20},
+		Limits: target.Limits{MaxHints: 1 << 16, MaxPending: 1 << 10, WalksPerSecond: 1 << 20},
 	}, Deps{Ring: ring, Clock: c, Log: zerolog.Nop(), Scope: tally.NoopScope})
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	b := newTest(t, c)
 	configure(t, b, anyPort, anyPort)
 	timing := b.timing()
-	a := arrived{service: 1, target: target.IDOf("t1"), incarnation: 1, beat: &wire.Beat{Number: 7}}
+	a := arrived{service: 1, target: target.IDFromName("t1"), incarnation: 1, beat: &wire.Beat{Number: 7}}
 	b.beat(a)
 	b.overdue(c.Now(), timing)
 	for number := uint32(8); number <= 7*20; number++ {
@@ -138,10 +138,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetReadBuffer(envelope.SocketBuffer)
+	_ = conn.SetReadBuffer(envelope.SocketBufferSize)
 	var count atomic.Uint64
 	go func() {
-		buffer := make([]byte, envelope.MaxDatagram)
+		buffer := make([]byte, envelope.MaxDatagramSize)
 		for {
 			if _, _, err := conn.ReadFromUDPAddrPort(buffer); err != nil {
 				return
@@ -197,10 +197,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = in.Close(), out.Close() })
-	_ = in.SetReadBuffer(envelope.SocketBuffer)
+	_ = in.SetReadBuffer(envelope.SocketBufferSize)
 	for range 2 {
 		go func() {
-			buffer := make([]byte, envelope.MaxDatagram)
+			buffer := make([]byte, envelope.MaxDatagramSize)
 			for {
 				n, _, err := in.ReadFromUDPAddrPort(buffer)
 				if err != nil {
--- a/internal/process/balancer/tunnel.go
+++ b/internal/process/balancer/tunnel.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return errs.Wrap(err)
 		}
-		_ = conn.SetReadBuffer(envelope.SocketBuffer)
+		_ = conn.SetReadBuffer(envelope.SocketBufferSize)
 		address := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 		b.tunnels = append(b.tunnels, &tunnel{
 			conn: conn, address: netip.AddrPortFrom(address.Addr().Unmap(), address.Port()),
@@ -101,12 +101,12 @@
 
 // receive takes what an agent sent.
 func (b *Balancer) receive(e *wire.Envelope) {
-	caller := envelope.Caller(e.Caller)
+	caller := envelope.ParseCaller(e.Caller)
 	switch e.Kind {
 	case wire.Kind_KIND_RETURN:
 		b.answer(e, caller)
 	case wire.Kind_KIND_HINT:
-		b.paths.Heard(e.Target)
+		b.paths.RecordAnswer(e.Target)
 		b.hints.Confirm(b.deps.Clock.Now(), e.Service, caller, e.Caller, e.Target, e.Incarnation)
 	default:
 		b.count.malformed.Inc(1)
--- a/internal/process/balancer/view.go
+++ b/internal/process/balancer/view.go
@@ -58,7 +58,7 @@
 func (b *Balancer) makeSet(state *config.State, e config.Entry) *target.Set {
 	var all []target.Candidate
 	for _, m := range b.table.Service(e.Name) {
-		b.byBeat[beaten{service: e.Number, target: target.IDOf(m.Name)}] = m.Key
+		b.byBeat[beaten{service: e.Number, target: target.IDFromName(m.Name)}] = m.Key
 		if c, ok := candidate(state, &m.Member); ok {
 			all = append(all, c)
 		}
@@ -78,7 +78,7 @@
 		return target.Candidate{}, false
 	}
 	return target.Candidate{
-		ID: target.IDOf(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
+		ID: target.IDFromName(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
 		Draining:  m.State != member.Alive || state.Draining(m.Service, m.Name),
 		Suspected: m.Suspected,
 	}, true
--- a/internal/request/envelope/caller.go
+++ b/internal/request/envelope/caller.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// maxCaller is the size of an IPv6 address and a port.
-const maxCaller = 18
+// maxCallerSize is the size of an IPv6 address and a port.
+const maxCallerSize = 18
 
-// AppendCaller appends the wire form of a caller's address.
+// AppendCaller appends the wire encoding of a caller's address.
 func AppendCaller(dst []byte, a netip.AddrPort) []byte {
 	ip := a.Addr().Unmap()
 	if ip.Is4() {
@@ -21,10 +21,10 @@
 	return binary.BigEndian.AppendUint16(dst, a.Port())
 }
 
-// Caller reads the wire form of a caller's address. The bytes come from an
-// envelope that Open has checked; others give an invalid address.
-func Caller(b []byte) netip.AddrPort {
-	if len(b) < 2 || len(b) > maxCaller {
+// ParseCaller decodes the wire encoding of a caller's address, as found in an envelope
+// that Open has accepted. It returns an invalid address for any other input.
+func ParseCaller(b []byte) netip.AddrPort {
+	if len(b) < 2 || len(b) > maxCallerSize {
 		return netip.AddrPort{}
 	}
 	ip, ok := netip.AddrFromSlice(b[:len(b)-2])
--- a/internal/request/envelope/envelope.go
+++ b/internal/request/envelope/envelope.go
@@ -2,10 +2,9 @@
 // send each other.
 //
 // A sealed datagram is the protobuf encoding of a wire.Envelope followed by a
-// trailer: one byte that names the key, a nonce of 12 bytes and a tag of 16.
-// The tag is GMAC, that is AES-GCM with the whole message as additional data:
-// callers' payloads are protected by their own protocol, so the envelope only
-// has to be authentic.
+// trailer: a one-byte key ID, a 12-byte nonce and a 16-byte tag. The tag is GMAC,
+// that is, AES-GCM with the whole message as additional data: callers' payloads are
+// protected by their own protocol, so the envelope only has to be authentic.
 //
 // # Usage
 //
@@ -36,25 +35,24 @@
 	nonceSize = 12
 	saltSize  = 6
 	tagSize   = 16
-	// Trailer is what a sealed datagram adds to its encoding, in bytes.
-	Trailer = 1 + nonceSize + tagSize
-	// MaxVisited bounds the walk: a datagram that visited so many targets
-	// ends there.
+	// TrailerSize is the size of the trailer of a sealed datagram, in bytes.
+	TrailerSize = 1 + nonceSize + tagSize
+	// MaxVisited bounds the number of targets that a datagram visits in a walk.
 	MaxVisited = 64
-	purpose    = "envelope"
+	keyPurpose = "envelope"
 )
 
 // Errors of this package.
 var (
-	ErrForged    = errs.New("envelope: not sealed with a key of this deployment")
+	ErrForged    = errs.New("envelope: not authenticated by a key of this deployment")
 	ErrMalformed = errs.New("envelope: malformed")
 	ErrTooLarge  = errs.New("envelope: larger than the path's MTU")
 )
 
 func newAEAD(k key.Key) cipher.AEAD {
-	block, err := aes.NewCipher(k.Derive(purpose, keySize))
+	block, err := aes.NewCipher(k.Derive(keyPurpose, keySize))
 	if err != nil {
-		// The key's size is a constant that AES takes.
+		// keySize is a valid AES key size.
 		panic(err)
 	}
 	aead, err := cipher.NewGCM(block)
@@ -66,11 +64,11 @@
 
 // Sealer seals envelopes with the first key of a ring.
 //
-// Its nonces are a random salt of 48 bits, drawn at start, and a counter of
-// 48 bits, so no two processes of a deployment need to agree on anything. A
-// nonce used twice would let an eavesdropper learn the authentication key;
-// after a million process starts under one key the chance that two salts are
-// equal is below 0.2 %, and keys are rotated long before.
+// A nonce consists of a 48-bit random salt, generated at start, and a 48-bit
+// counter, so processes need no coordination. Using a nonce twice would reveal the
+// authentication key to an eavesdropper; after a million process starts under one
+// key the probability that two salts are equal is below 0.2 %, and keys are rotated
+// long before that.
 type Sealer struct {
 	id      byte
 	aead    cipher.AEAD
@@ -79,23 +77,23 @@
 	mtu     int
 }
 
-// NewSealer returns a sealer whose datagrams are at most mtu bytes.
+// NewSealer returns a sealer that produces datagrams of at most mtu bytes.
 func NewSealer(ring key.Ring, mtu int) *Sealer {
 	s := &Sealer{id: ring[0].ID, aead: newAEAD(ring[0]), mtu: mtu}
 	_, _ = rand.Read(s.salt[:])
 	return s
 }
 
-// Seal appends the sealed envelope to dst. It returns ErrTooLarge where the
-// result would exceed the MTU: the caller of the flow then finds a smaller
-// path MTU by its own discovery.
+// Seal appends the sealed envelope to dst. It returns ErrTooLarge if the result
+// would exceed the MTU: the flow's caller then finds a smaller size by its path MTU
+// discovery.
 func (s *Sealer) Seal(dst []byte, e *wire.Envelope) ([]byte, error) {
 	start := len(dst)
 	size := e.SizeVT()
-	if size+Trailer > s.mtu {
+	if size+TrailerSize > s.mtu {
 		return dst, ErrTooLarge
 	}
-	dst = grow(dst, size+Trailer)
+	dst = grow(dst, size+TrailerSize)
 	if _, err := e.MarshalToSizedBufferVT(dst[start : start+size]); err != nil {
 		return dst[:start], errs.Wrap(err)
 	}
@@ -121,7 +119,7 @@
 	return append(b, make([]byte, n)...)
 }
 
-// Opener checks and decodes envelopes sealed with any key of a ring.
+// Opener verifies and decodes envelopes sealed with any key of a ring.
 type Opener struct {
 	ids   []byte
 	aeads []cipher.AEAD
@@ -137,15 +135,14 @@
 	return o
 }
 
-// Open decodes a sealed datagram into e, which then refers into b. It keeps
-// the capacity of e's list of visited targets, so an envelope is reused
-// without allocating.
+// Open verifies a sealed datagram and decodes it into e, which then refers into b.
+// It retains the capacity of e.Visited, so reusing an envelope does not allocate.
 func (o *Opener) Open(e *wire.Envelope, b []byte) error {
 	signed := len(b) - nonceSize - tagSize
 	if signed < 1 {
 		return ErrMalformed
 	}
-	if !o.authentic(b, signed) {
+	if !o.verify(b, signed) {
 		return ErrForged
 	}
 	visited := e.Visited[:0]
@@ -153,10 +150,10 @@
 	if err := e.UnmarshalVTUnsafe(b[:signed-1]); err != nil {
 		return ErrMalformed
 	}
-	return check(e)
+	return validate(e)
 }
 
-func (o *Opener) authentic(b []byte, signed int) bool {
+func (o *Opener) verify(b []byte, signed int) bool {
 	nonce := b[signed : signed+nonceSize]
 	tag := b[signed+nonceSize:]
 	for i, id := range o.ids {
@@ -170,9 +167,9 @@
 	return false
 }
 
-// check refuses what no process of this version sends, so that the code
-// behind it can rely on lengths.
-func check(e *wire.Envelope) error {
+// validate rejects envelopes that no process of this version sends, so that callers
+// can rely on the lengths of fields.
+func validate(e *wire.Envelope) error {
 	if len(e.Visited) > MaxVisited {
 		return ErrMalformed
 	}
--- a/internal/request/envelope/export_test.go
+++ b/internal/request/envelope/export_test.go
@@ -1,6 +1,6 @@
 package envelope
 
-// SealRaw signs bytes that need not be an envelope.
+// SealRaw seals bytes that need not encode an envelope.
 func SealRaw(s *Sealer, body []byte) []byte {
 	out := append([]byte(nil), body...)
 	out = append(out, s.id)
--- a/internal/request/envelope/sizes.go
+++ b/internal/request/envelope/sizes.go
@@ -3,29 +3,29 @@
 import "net/netip"
 
 const (
-	// MaxDatagram is the size of the buffers that datagrams are read into.
-	MaxDatagram = 2048
-	// SocketBuffer is asked of the kernel for each socket that datagrams
-	// arrive on, in bytes, so that a burst waits instead of being lost.
-	SocketBuffer = 4 << 20
-	// WalkRoom is what a balancer leaves free in a datagram for what a walk
+	// MaxDatagramSize is the size of the buffers into which datagrams are read.
+	MaxDatagramSize = 2048
+	// SocketBufferSize is the receive buffer, in bytes, requested from the kernel
+	// for each datagram socket, so that bursts are queued instead of dropped.
+	SocketBufferSize = 4 << 20
+	// WalkReserve is the space that a balancer leaves in a datagram for what a walk
 	// adds to it: the balancer's address, the home and seven visited targets.
 	//
-	// A caller's path MTU discovery may settle while its balancers know the owner, at
-	// datagrams that fill one hop; with the room left at the first hop it settles below it.
-	// Services with more than seven targets may lose full datagrams at the end of a long
-	// walk; smaller ones find the owner.
-	WalkRoom = 56
-	// Sizes of the headers of IP and UDP around an envelope.
-	headersV4 = 20 + 8
-	headersV6 = 40 + 8
+	// Without it a caller's path MTU discovery could settle, while its balancers know the
+	// owner, at a size that fits one hop but not a walk. With more than seven targets,
+	// full-size datagrams may be dropped at the end of a long walk; smaller ones reach
+	// the owner.
+	WalkReserve = 56
+	// Sizes of the IP and UDP headers around an envelope.
+	headerSizeV4 = 20 + 8
+	headerSizeV6 = 40 + 8
 )
 
-// Room returns what a path's MTU leaves for an envelope between two addresses
+// MaxSize returns the largest envelope that fits the path MTU between two addresses
 // of a family.
-func Room(mtu int, family netip.Addr) int {
+func MaxSize(mtu int, family netip.Addr) int {
 	if family.Is4() {
-		return mtu - headersV4
+		return mtu - headerSizeV4
 	}
-	return mtu - headersV6
+	return mtu - headerSizeV6
 }
--- a/internal/request/quic/refuse.go
+++ b/internal/request/quic/refuse.go
@@ -15,46 +15,45 @@
 // errRefused makes the QUIC library refuse a connection.
 var errRefused = errs.New("quic: refused")
 
-// refuseQueue bounds the opening datagrams that wait to be refused. At the
-// bound they are dropped: the caller sends its opening again, and until then
-// it is merely slow to learn.
-const refuseQueue = 256
-
-// Refuser answers opening datagrams with CONNECTION_REFUSED. The answers are
-// made by the QUIC library, which is given a connection that reads from a
-// queue and writes to a function in place of a socket.
+// maxQueuedRefusals bounds the opening datagrams queued to be refused. Beyond it they
+// are dropped: the caller resends its opening datagram and is refused later.
+const maxQueuedRefusals = 256
+
+// Refuser answers opening datagrams with CONNECTION_REFUSED. The QUIC library
+// generates the answers; instead of a socket it uses a connection that reads from a
+// queue and writes to a function.
 //
-// It never hands a datagram to an upstream, so a refusal always means that
-// nothing ran.
+// A Refuser passes no datagram to an upstream, so a refusal always means that no
+// request was executed.
 type Refuser struct {
-	conn     *queue
+	conn     *packetConn
 	listener *quicgo.Listener
-	done     context.CancelFunc
+	cancel   context.CancelFunc
 }
 
-// Answer sends a datagram back to a caller.
-type Answer func(caller netip.AddrPort, datagram []byte)
+// SendFunc sends a datagram to a caller.
+type SendFunc func(caller netip.AddrPort, datagram []byte)
 
-// NewRefuser starts a refuser.
-func NewRefuser(answer Answer) (*Refuser, error) {
-	conn := &queue{in: make(chan item, refuseQueue), closed: make(chan struct{}), answer: answer}
+// NewRefuser starts a refuser that sends its answers with send.
+func NewRefuser(send SendFunc) (*Refuser, error) {
+	conn := &packetConn{incoming: make(chan queuedDatagram, maxQueuedRefusals), closed: make(chan struct{}), send: send}
 	config := &quicgo.Config{
 		GetConfigForClient: func(*quicgo.ClientInfo) (*quicgo.Config, error) {
 			return nil, errRefused
 		},
 	}
-	// No handshake comes so far that a certificate is read.
+	// Every handshake is refused before a certificate is read.
 	listener, err := quicgo.Listen(conn, &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{{}}}, config)
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
 	ctx, done := context.WithCancel(context.Background())
-	r := &Refuser{conn: conn, listener: listener, done: done}
-	go r.drain(ctx)
+	r := &Refuser{conn: conn, listener: listener, cancel: done}
+	go r.closeAccepted(ctx)
 	return r, nil
 }
 
-func (r *Refuser) drain(ctx context.Context) {
+func (r *Refuser) closeAccepted(ctx context.Context) {
 	for {
 		c, err := r.listener.Accept(ctx)
 		if err != nil {
@@ -64,60 +63,60 @@
 	}
 }
 
-// Refuse queues the answer to an opening datagram. It reports false where the
-// queue is full.
+// Refuse queues an opening datagram to be refused. It reports false if the queue is
+// full.
 func (r *Refuser) Refuse(caller netip.AddrPort, datagram []byte) bool {
-	it := item{from: net.UDPAddrFromAddrPort(caller), data: append([]byte(nil), datagram...)}
+	d := queuedDatagram{from: net.UDPAddrFromAddrPort(caller), data: append([]byte(nil), datagram...)}
 	select {
-	case r.conn.in <- it:
+	case r.conn.incoming <- d:
 		return true
 	default:
 		return false
 	}
 }
 
-// Close ends the refuser.
+// Close stops the refuser.
 func (r *Refuser) Close() {
-	r.done()
+	r.cancel()
 	_ = r.listener.Close()
 	_ = r.conn.Close()
 }
 
-type item struct {
+type queuedDatagram struct {
 	from *net.UDPAddr
 	data []byte
 }
 
-// queue is a net.PacketConn without a network.
-type queue struct {
-	in     chan item
-	closed chan struct{}
-	once   sync.Once
-	answer Answer
+// packetConn is a net.PacketConn that reads from a queue and writes to a function.
+type packetConn struct {
+	incoming  chan queuedDatagram
+	closed    chan struct{}
+	closeOnce sync.Once
+	send      SendFunc
 }
 
-func (q *queue) ReadFrom(p []byte) (int, net.Addr, error) {
+func (c *packetConn) ReadFrom(p []byte) (int, net.Addr, error) {
 	select {
-	case it := <-q.in:
-		return copy(p, it.data), it.from, nil
-	case <-q.closed:
+	case d := <-c.incoming:
+		return copy(p, d.data), d.from, nil
+	case <-c.closed:
 		return 0, nil, net.ErrClosed
 	}
 }
 
-func (q *queue) WriteTo(p []byte, to net.Addr) (int, error) {
+func (c *packetConn) WriteTo(p []byte, to net.Addr) (int, error) {
 	if a, ok := to.(*net.UDPAddr); ok {
-		q.answer(a.AddrPort(), p)
+		c.send(a.AddrPort(), p)
 	}
 	return len(p), nil
 }
 
-func (q *queue) Close() error {
-	q.once.Do(func() { close(q.closed) })
+func (c *packetConn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
 	return nil
 }
 
-func (q *queue) LocalAddr() net.Addr              { return &net.UDPAddr{IP: net.IPv4zero} }
-func (q *queue) SetDeadline(time.Time) error      { return nil }
-func (q *queue) SetReadDeadline(time.Time) error  { return nil }
-func (q *queue) SetWriteDeadline(time.Time) error { return nil }
+func (c *packetConn) LocalAddr() net.Addr              { return &net.UDPAddr{IP: net.IPv4zero} }
+func (c *packetConn) SetDeadline(time.Time) error      { return nil }
+func (c *packetConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *packetConn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/request/segment/segment.go
+++ b/internal/request/segment/segment.go
@@ -1,20 +1,20 @@
-// Package segment describes the packets of flows that are connections: what a
-// decision needs of one packet, and nothing of how the packet is encoded.
+// Package segment describes the packets of connection-oriented flows, independent
+// of their encoding.
 //
 // # The model
 //
-// A flow lies between a caller's address and a listener's. Its packets carry
-// sequence numbers, like TCP segments, and say themselves when they open, end
-// or reset the flow. An upstream returns a packet that it does not take.
+// A flow is a connection between a caller's address and a listener's. Its packets
+// carry sequence numbers and flags that open, end or reset the flow, like TCP
+// segments. An upstream returns a packet that it does not accept.
 //
-// Who knows the encoding implements Codec; decisions and processes work with
-// Segments. Packets themselves are passed on as they are.
+// A Codec implements the encoding; routing decisions use Segments. Packets themselves
+// are forwarded unmodified, except for their mark.
 //
 // # Usage
 //
 //	s, err := codec.Decode(packet)
 //	flow := s.FromCaller()
-//	codec.Mark(packet, echo)
+//	codec.Mark(packet, mark)
 package segment
 
 import (
@@ -24,11 +24,11 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrMalformed means that a datagram is no packet of a flow.
+// ErrMalformed means that a datagram is not a valid packet.
 var ErrMalformed = errs.New("segment: malformed packet")
 
-// MaxPacket bounds a datagram with a packet, in bytes: the largest that an
-// Ethernet frame carries, with room for what balancers add.
+// MaxPacket bounds a datagram with a packet, in bytes: the largest that fits an
+// Ethernet frame, including what balancers add.
 const MaxPacket = 1500
 
 // Flow identifies one connection.
@@ -37,12 +37,12 @@
 	Listener netip.AddrPort
 }
 
-// String returns the flow as logs show it: caller>listener.
+// String returns the flow in the form used in logs: caller>listener.
 func (f Flow) String() string {
 	return f.Caller.String() + ">" + f.Listener.String()
 }
 
-// flowSize is the length of a flow on the wire: two IPv4 addresses with ports.
+// flowSize is the length of an encoded flow: two IPv4 addresses with ports.
 const flowSize = 12
 
 // AppendFlow appends the flow's encoding to b.
@@ -50,7 +50,7 @@
 	return AppendAddress(AppendAddress(b, f.Caller), f.Listener)
 }
 
-// ParseFlow decodes what AppendFlow has made.
+// ParseFlow decodes the encoding of AppendFlow.
 func ParseFlow(b []byte) (Flow, error) {
 	if len(b) != flowSize {
 		return Flow{}, ErrMalformed
@@ -68,7 +68,7 @@
 	return binary.BigEndian.AppendUint16(append(b, ip[:]...), a.Port())
 }
 
-// ParseAddress decodes what AppendAddress has made.
+// ParseAddress decodes the encoding of AppendAddress.
 func ParseAddress(b []byte) (netip.AddrPort, error) {
 	if len(b) != addressSize {
 		return netip.AddrPort{}, ErrMalformed
@@ -77,28 +77,28 @@
 	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(b[4:])), nil
 }
 
-// Flags tell what a packet does to its flow.
+// Flags describe a packet's effect on its flow.
 type Flags uint8
 
 // Flags.
 const (
-	// Opens asks for a new flow, or accepts one where Acks is set as well.
+	// Opens requests a new flow or, together with Acks, accepts one.
 	Opens Flags = 1 << iota
 	Acks
-	// Ends tells that its sender sends nothing more.
+	// Ends means that the sender sends nothing more.
 	Ends
 	// Resets ends the flow at once.
 	Resets
-	// Returned marks a packet that the upstream did not take.
+	// Returned means that the upstream did not accept the packet.
 	Returned
 )
 
-// Has reports whether all the wanted flags are set.
+// Has reports whether all wanted flags are set.
 func (f Flags) Has(wanted Flags) bool {
 	return f&wanted == wanted
 }
 
-// Segment is what decisions know of one packet.
+// Segment holds the decoded fields of one packet.
 type Segment struct {
 	Source      netip.AddrPort
 	Destination netip.AddrPort
@@ -107,32 +107,32 @@
 	Ack         uint32
 	// Size of the payload, in bytes.
 	Size int
-	// Echo is the mark that the packet was handed to the upstream with. An
-	// upstream returns a packet with its mark.
-	Echo uint32
+	// Mark is set when a packet is passed to the upstream, which keeps it in a
+	// packet that it returns.
+	Mark uint32
 }
 
-// Opening reports a caller's request for a new flow.
+// Opening reports whether the segment is a caller's request for a new flow.
 func (s *Segment) Opening() bool {
 	return s.Flags.Has(Opens) && !s.Flags.Has(Acks)
 }
 
-// FromCaller returns the flow of a packet that its caller sent.
+// FromCaller returns the flow of a packet sent by the caller.
 func (s *Segment) FromCaller() Flow {
 	return Flow{Caller: s.Source, Listener: s.Destination}
 }
 
-// FromUpstream returns the flow of a packet that its upstream sent.
+// FromUpstream returns the flow of a packet sent by the upstream.
 func (s *Segment) FromUpstream() Flow {
 	return Flow{Caller: s.Destination, Listener: s.Source}
 }
 
-// Codec knows how packets are encoded.
+// Codec implements the encoding of packets.
 type Codec interface {
-	// Decode reads a packet. It returns ErrMalformed for anything else.
+	// Decode decodes a packet. It returns ErrMalformed for invalid input.
 	Decode(packet []byte) (Segment, error)
-	// Mark sets the echo of a packet and takes Returned off.
-	Mark(packet []byte, echo uint32)
-	// Reset makes a packet that ends the flow at its caller.
+	// Mark sets the mark of a packet and clears Returned.
+	Mark(packet []byte, mark uint32)
+	// Reset returns a packet that resets the flow at its caller.
 	Reset(f Flow, seq uint32) []byte
 }
--- a/internal/request/target/hints.go
+++ b/internal/request/target/hints.go
@@ -14,48 +14,47 @@
 )
 
 const (
-	shards = 64
-	// refresh is the age from which a hint is confirmed anew.
-	refresh = 2 * clock.Second
-	// askGap is the least time between two asks for one flow, so that a
-	// fast flow does not fill the path with them.
-	askGap = 100 * clock.Millis(1)
-	// patience is how long asks go unanswered before the next walk starts
+	shardCount = 64
+	// hintRefreshAge is the age from which a hint is confirmed again.
+	hintRefreshAge = 2 * clock.Second
+	// minAskInterval is the minimum time between two asks for one flow, so
+	// that a fast flow does not fill the path with them.
+	minAskInterval = 100 * clock.Millis(1)
+	// askTimeout is how long asks go unanswered before the next walk starts
 	// at another target. It is several round trips between failure domains
 	// and shorter than a caller's second retransmission.
-	patience = 300 * clock.Millis(1)
-	// leastAsks must have gone unanswered besides, so that one lost
-	// datagram does not turn a flow away from its owner.
-	leastAsks = 3
-	// walkHops bounds the hops of one datagram over all rounds of a walk.
-	walkHops = 2 * envelope.MaxVisited
-	// firstHopOnly is the budget of a datagram beyond the walk budget.
+	askTimeout = 300 * clock.Millis(1)
+	// minAsks is how many asks must also have gone unanswered, so that one
+	// lost datagram does not divert a flow from its owner.
+	minAsks = 3
+	// maxWalkHops bounds the hops of one datagram over all rounds of a walk.
+	maxWalkHops = 2 * envelope.MaxVisited
+	// firstHopOnly is the hop budget of a datagram beyond the rate of walks.
 	firstHopOnly = 1
 )
 
-// Limits bound what a balancer remembers and spends on flows that it does not
-// know.
+// Limits bounds a balancer's memory for hints and its work for flows without one.
 type Limits struct {
-	// Hints is the number of flows whose owner is remembered. Beyond it
-	// the longest unused goes, and that flow's next datagram walks.
-	Hints int
-	// Pending is the number of flows that were asked about.
-	Pending int
-	// Walks is the number of walks a second for flows without a hint.
-	// Beyond it a datagram is tried at one target only.
-	Walks int
+	// MaxHints is the number of flows whose owner is cached. Beyond it the
+	// least recently used is evicted, and that flow's next datagram walks.
+	MaxHints int
+	// MaxPending is the number of flows without a hint whose state is kept.
+	MaxPending int
+	// WalksPerSecond limits the walks for flows without a hint. Beyond it a
+	// datagram is sent to one target only.
+	WalksPerSecond int
 }
 
-// Route says where a datagram goes and what its envelope tells the agent.
+// Route is the destination of a datagram and the fields of its envelope.
 type Route struct {
 	Target *Candidate
 	Stage  wire.Stage
 	Ask    bool
 	Budget uint32
-	// Hinted tells that the target is known to own the flow.
+	// Hinted reports that the target is known to own the flow.
 	Hinted bool
-	// Silent names a target that did not confirm a flow of its own.
-	Silent ID
+	// SilentTarget is a target that stopped answering asks, or zero.
+	SilentTarget ID
 }
 
 type flowKey struct {
@@ -63,52 +62,53 @@
 	caller  netip.AddrPort
 }
 
-// trail is what is remembered of one flow. owner is zero while none is known.
-type trail struct {
+// flowState is the state of one flow. owner is zero while none is known.
+type flowState struct {
 	owner ID
-	// lost is the target that was silent last; the next walk does not
-	// start there.
-	lost        ID
-	incarnation uint32
-	confirmed   clock.Millis
-	// asked and asks describe the asks since the last confirmation.
-	firstAsk clock.Millis
-	lastAsk  clock.Millis
-	asks     int
-	attempt  int
+	// silentTarget is the target that last stopped answering; the next walk
+	// does not start there.
+	silentTarget ID
+	incarnation  uint32
+	confirmedAt  clock.Millis
+	// firstAskAt, lastAskAt and askCount describe the asks since the last
+	// confirmation.
+	firstAskAt clock.Millis
+	lastAskAt  clock.Millis
+	askCount   int
+	attempt    int
 }
 
 type shard struct {
 	mu      sync.Mutex
-	hints   *simplelru.LRU[flowKey, *trail]
-	pending *simplelru.LRU[flowKey, *trail]
+	hints   *simplelru.LRU[flowKey, *flowState]
+	pending *simplelru.LRU[flowKey, *flowState]
 }
 
-// Hints is the soft memory of a balancer: which target owns a flow, and which
-// flows were asked about in vain. Workers share it; each call takes the lock
-// of one shard and no other lock.
+// Hints is a balancer's soft state: which target owns a flow, and which flows have
+// unanswered asks. Workers share it; each call takes the lock of one shard and no
+// other lock.
 type Hints struct {
-	shards [shards]shard
-	walks  *rate.Limiter
+	shards      [shardCount]shard
+	walkLimiter *rate.Limiter
 }
 
-// NewHints returns an empty memory.
+// NewHints returns a Hints without entries.
 func NewHints(limits Limits) *Hints {
-	h := &Hints{walks: rate.NewLimiter(rate.Limit(limits.Walks), limits.Walks)}
+	h := &Hints{walkLimiter: rate.NewLimiter(rate.Limit(limits.WalksPerSecond), limits.WalksPerSecond)}
 	for i := range h.shards {
-		// The sizes are positive, the only thing that NewLRU refuses.
-		h.shards[i].hints, _ = simplelru.NewLRU[flowKey, *trail](max(limits.Hints/shards, 1), nil)
-		h.shards[i].pending, _ = simplelru.NewLRU[flowKey, *trail](max(limits.Pending/shards, 1), nil)
+		// NewLRU only fails for a size that is not positive.
+		h.shards[i].hints, _ = simplelru.NewLRU[flowKey, *flowState](max(limits.MaxHints/shardCount, 1), nil)
+		h.shards[i].pending, _ = simplelru.NewLRU[flowKey, *flowState](max(limits.MaxPending/shardCount, 1), nil)
 	}
 	return h
 }
 
 func (h *Hints) shard(caller []byte) *shard {
-	return &h.shards[xxh3.Hash(caller)%shards]
+	return &h.shards[xxh3.Hash(caller)%shardCount]
 }
 
-// Route decides where a datagram of a caller goes. It reports false for a
-// service without targets.
+// Route selects the target of a caller's datagram. It reports false for a service
+// without targets.
 func (h *Hints) Route(now clock.Millis, set *Set, key netip.AddrPort, caller []byte, opening bool) (Route, bool) {
 	s := h.shard(caller)
 	k := flowKey{service: set.Service, caller: key}
@@ -116,102 +116,103 @@
 	defer s.mu.Unlock()
 	t, ok := s.hints.Get(k)
 	if !ok {
-		return h.unknown(now, s, k, set, caller, opening)
+		return h.routeWithoutHint(now, s, k, set, caller, opening)
 	}
-	if r, ok := t.known(now, set, opening); ok {
+	if r, ok := t.routeByHint(now, set, opening); ok {
 		return r, true
 	}
-	s.forget(k, t)
-	r, ok := h.unknown(now, s, k, set, caller, opening)
-	if t.silent(now) {
-		r.Silent = t.owner
+	s.dropHint(k, t)
+	r, ok := h.routeWithoutHint(now, s, k, set, caller, opening)
+	if t.ownerSilent(now) {
+		r.SilentTarget = t.owner
 	}
 	return r, ok
 }
 
-// known routes by a hint, unless the owner has gone or fell silent.
-func (t *trail) known(now clock.Millis, set *Set, opening bool) (Route, bool) {
+// routeByHint routes to the owner, unless the owner has left or stopped answering.
+func (t *flowState) routeByHint(now clock.Millis, set *Set, opening bool) (Route, bool) {
 	c, ok := set.Find(t.owner)
-	if !ok || c.Incarnation != t.incarnation || t.silent(now) {
+	if !ok || c.Incarnation != t.incarnation || t.ownerSilent(now) {
 		return Route{}, false
 	}
 	stage := wire.Stage_STAGE_OWNED
 	if opening {
 		stage = wire.Stage_STAGE_OPEN
 	}
-	ask := now.Sub(t.confirmed) > refresh && t.ask(now)
-	return Route{Target: c, Stage: stage, Ask: ask, Budget: walkHops, Hinted: true}, true
+	ask := now.Sub(t.confirmedAt) > hintRefreshAge && t.startAsk(now)
+	return Route{Target: c, Stage: stage, Ask: ask, Budget: maxWalkHops, Hinted: true}, true
 }
 
-// silent reports that the owner was asked several times and did not answer: a
-// dead process, or a path that lost track of the tunnel.
-func (t *trail) silent(now clock.Millis) bool {
-	return t.asks >= leastAsks && now.Sub(t.firstAsk) > patience
+// ownerSilent reports whether the owner left several asks unanswered: its process
+// died, or a device on the path lost the state of the tunnel.
+func (t *flowState) ownerSilent(now clock.Millis) bool {
+	return t.askCount >= minAsks && now.Sub(t.firstAskAt) > askTimeout
 }
 
-func (t *trail) ask(now clock.Millis) bool {
-	if t.asks > 0 && now.Sub(t.lastAsk) < askGap {
+// startAsk reports whether to ask the owner now, and if so records the ask.
+func (t *flowState) startAsk(now clock.Millis) bool {
+	if t.askCount > 0 && now.Sub(t.lastAskAt) < minAskInterval {
 		return false
 	}
-	if t.asks == 0 {
-		t.firstAsk = now
+	if t.askCount == 0 {
+		t.firstAskAt = now
 	}
-	t.lastAsk = now
-	t.asks++
+	t.lastAskAt = now
+	t.askCount++
 	return true
 }
 
-// forget turns a hint that led nowhere into a pending flow, whose walk starts
-// behind the target that did not answer.
-func (s *shard) forget(k flowKey, t *trail) {
+// dropHint turns a hint whose owner is unusable into a pending flow, whose walk does
+// not start at that owner.
+func (s *shard) dropHint(k flowKey, t *flowState) {
 	s.hints.Remove(k)
-	s.pending.Add(k, &trail{lost: t.owner})
+	s.pending.Add(k, &flowState{silentTarget: t.owner})
 }
 
-// unknown routes a datagram of a flow without a hint.
+// routeWithoutHint routes a datagram of a flow without a hint.
 //
-// The owner is asked at an opening, and otherwise from the flow's second datagram
-// here on. Where a flow is sprayed over more balancers than it has datagrams in a
-// while, asking at the first of each would double the datagrams on the path and
-// bring no hint that is used.
-func (h *Hints) unknown(now clock.Millis, s *shard, k flowKey, set *Set, caller []byte, opening bool) (Route, bool) {
+// The owner is asked at an opening, and otherwise from the flow's second datagram at
+// this balancer. If a flow's datagrams are spread over so many balancers that each sees
+// only one of them, asking at the first would double the datagrams on the path without
+// producing a hint that is used.
+func (h *Hints) routeWithoutHint(now clock.Millis, s *shard, k flowKey, set *Set, caller []byte, opening bool) (Route, bool) {
 	t, again := s.pending.Get(k)
 	if !again {
-		t = &trail{}
+		t = &flowState{}
 		s.pending.Add(k, t)
 	}
 	if opening {
-		return t.open(now, set, caller)
+		return t.routeOpening(now, set, caller)
 	}
-	var lost ID
-	if t.silent(now) {
-		lost = t.owner
-		*t = trail{attempt: t.attempt + 1, lost: lost}
+	var silent ID
+	if t.ownerSilent(now) {
+		silent = t.owner
+		*t = flowState{attempt: t.attempt + 1, silentTarget: silent}
 	}
-	c, ok := t.start(set, caller)
+	c, ok := t.firstTarget(set, caller)
 	if !ok {
 		return Route{}, false
 	}
 	t.owner = c.ID
 	return Route{
-		Target: c, Stage: wire.Stage_STAGE_OWNED, Ask: again && t.ask(now), Budget: h.budget(), Silent: lost,
+		Target: c, Stage: wire.Stage_STAGE_OWNED, Ask: again && t.startAsk(now), Budget: h.hopBudget(), SilentTarget: silent,
 	}, true
 }
 
-// start picks the first target of the walk. It is not the one that has just
-// been silent, for that one would swallow the walk again.
-func (t *trail) start(set *Set, caller []byte) (*Candidate, bool) {
+// firstTarget selects the first target of the walk. It avoids the target that just
+// stopped answering, which would drop the datagram again.
+func (t *flowState) firstTarget(set *Set, caller []byte) (*Candidate, bool) {
 	c, ok := set.Start(caller, t.attempt)
-	if ok && c.ID == t.lost {
+	if ok && c.ID == t.silentTarget {
 		t.attempt++
 		return set.Start(caller, t.attempt)
 	}
 	return c, ok
 }
 
-// open sends an opening datagram to its home. Where no target opens flows it
-// goes to the first of the walk, whose agent refuses it properly.
-func (t *trail) open(now clock.Millis, set *Set, caller []byte) (Route, bool) {
+// routeOpening routes an opening datagram to its home. If no target accepts flows, it
+// goes to the first target of the walk, whose agent refuses it.
+func (t *flowState) routeOpening(now clock.Millis, set *Set, caller []byte) (Route, bool) {
 	c, ok := set.Home(caller)
 	if !ok {
 		c, ok = set.Start(caller, 0)
@@ -219,30 +220,30 @@
 	if !ok {
 		return Route{}, false
 	}
-	return Route{Target: c, Stage: wire.Stage_STAGE_OPEN, Ask: t.ask(now), Budget: walkHops}, true
+	return Route{Target: c, Stage: wire.Stage_STAGE_OPEN, Ask: t.startAsk(now), Budget: maxWalkHops}, true
 }
 
-// budget bounds what a stranger's garbage costs: beyond the rate of walks a
-// datagram reaches one target, which is no more than it cost to send.
-func (h *Hints) budget() uint32 {
-	if h.walks.Allow() {
-		return walkHops
+// hopBudget bounds the cost of datagrams of unknown flows: beyond the rate of walks a
+// datagram reaches only one target, so it is not amplified.
+func (h *Hints) hopBudget() uint32 {
+	if h.walkLimiter.Allow() {
+		return maxWalkHops
 	}
 	return firstHopOnly
 }
 
-// Confirm notes that a target owns a flow.
+// Confirm records that a target owns a flow.
 func (h *Hints) Confirm(now clock.Millis, service uint32, key netip.AddrPort, caller []byte, owner ID, incarnation uint32) {
 	s := h.shard(caller)
 	k := flowKey{service: service, caller: key}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t, ok := s.hints.Get(k); ok {
-		*t = trail{owner: owner, incarnation: incarnation, confirmed: now}
+		*t = flowState{owner: owner, incarnation: incarnation, confirmedAt: now}
 		return
 	}
 	s.pending.Remove(k)
-	s.hints.Add(k, &trail{owner: owner, incarnation: incarnation, confirmed: now})
+	s.hints.Add(k, &flowState{owner: owner, incarnation: incarnation, confirmedAt: now})
 }
 
 // Len returns the number of flows with a hint.
--- a/internal/request/target/paths.go
+++ b/internal/request/target/paths.go
@@ -7,69 +7,71 @@
 )
 
 const (
-	// pathSlots is how many targets have a path of their own. Two targets
-	// that share one change ports together, which harms neither.
-	pathSlots = 4096
-	// rotateGap is the least time between two changes for one target.
-	rotateGap = clock.Second
-	// leastUnanswered asks in a row, of any flows, must have gone without an
-	// answer of the target before its path is given up.
-	leastUnanswered = 8
+	// pathCount is the number of paths. Targets whose IDs are equal modulo
+	// pathCount share a path and change ports together, which is harmless.
+	pathCount = 4096
+	// minPortChangeInterval is the minimum time between two changes of one
+	// path's port.
+	minPortChangeInterval = clock.Second
+	// minUnanswered is how many consecutive asks, for any flows, the target
+	// must leave unanswered before its path's port changes.
+	minUnanswered = 8
 )
 
-// Paths says which of a balancer's ports is used towards each target.
+// Paths selects the source port that a balancer uses towards each target.
 //
-// Something between a balancer and an agent may lose track of one pair of ports, and all
-// that is sent through it disappears. When asks to a target go unanswered, of one flow or
-// of several, the next datagrams leave from another port. Flows stay: they are the
-// agent's, which answers to whatever port it hears from.
+// A device between a balancer and an agent may lose the state of one pair of ports and
+// drop all datagrams between them. When asks to a target go unanswered, for one flow or
+// several, the next datagrams are sent from another port. Flows are not affected: the
+// agent holds them and answers to the port from which a datagram came.
 //
-// Workers share it without locks.
+// Workers share Paths without locks.
 type Paths struct {
-	slots [pathSlots]path
+	paths [pathCount]path
 }
 
 type path struct {
-	port       atomic.Uint32
-	changed    atomic.Int64
-	unanswered atomic.Uint32
-	since      atomic.Int64
+	port            atomic.Uint32
+	changedAt       atomic.Int64
+	unanswered      atomic.Uint32
+	unansweredSince atomic.Int64
 }
 
-func (p *Paths) slot(id ID) *path {
-	return &p.slots[id%pathSlots]
+func (p *Paths) pathTo(id ID) *path {
+	return &p.paths[id%pathCount]
 }
 
-// Port returns the number of the port towards a target; the caller takes it
-// modulo the number of its ports.
+// Port returns the index of the port towards a target; the caller takes it modulo
+// the number of its ports.
 func (p *Paths) Port(id ID) uint32 {
-	return p.slot(id).port.Load()
+	return p.pathTo(id).port.Load()
 }
 
-// Asked notes that the owner of a flow was asked at a target, and reports that
-// the path was given up for it.
-func (p *Paths) Asked(now clock.Millis, id ID) bool {
-	s := p.slot(id)
+// RecordAsk records that a target was asked about a flow, and reports whether the
+// path's port was changed.
+func (p *Paths) RecordAsk(now clock.Millis, id ID) bool {
+	s := p.pathTo(id)
 	n := s.unanswered.Add(1)
 	if n == 1 {
-		s.since.Store(int64(now))
+		s.unansweredSince.Store(int64(now))
 	}
-	if n < leastUnanswered || now.Sub(clock.Millis(s.since.Load())) <= patience {
+	if n < minUnanswered || now.Sub(clock.Millis(s.unansweredSince.Load())) <= askTimeout {
 		return false
 	}
-	return p.Change(now, id)
+	return p.ChangePort(now, id)
 }
 
-// Heard notes an answer of a target.
-func (p *Paths) Heard(id ID) {
-	p.slot(id).unanswered.Store(0)
+// RecordAnswer records an answer from a target.
+func (p *Paths) RecordAnswer(id ID) {
+	p.pathTo(id).unanswered.Store(0)
 }
 
-// Change gives a path up, unless that was done a moment ago.
-func (p *Paths) Change(now clock.Millis, id ID) bool {
-	s := p.slot(id)
-	last := s.changed.Load()
-	if now.Sub(clock.Millis(last)) < rotateGap || !s.changed.CompareAndSwap(last, int64(now)) {
+// ChangePort changes the port of a path, unless it was changed less than
+// minPortChangeInterval ago. It reports whether the port was changed.
+func (p *Paths) ChangePort(now clock.Millis, id ID) bool {
+	s := p.pathTo(id)
+	last := s.changedAt.Load()
+	if now.Sub(clock.Millis(last)) < minPortChangeInterval || !s.changedAt.CompareAndSwap(last, int64(now)) {
 		return false
 	}
 	s.unanswered.Store(0)
--- a/internal/request/target/target_test.go
+++ b/internal/request/target/target_test.go
@@ -13,69 +13,68 @@
 )
 
 var (
-	limits = target.Limits{Hints: 1 << 16, Pending: 1 << 10, Walks: 1000}
-	caller = netip.MustParseAddrPort("203.0.113.9:61000")
-	wired  = envelope.AppendCaller(nil, caller)
+	limits      = target.Limits{MaxHints: 1 << 16, MaxPending: 1 << 10, WalksPerSecond: 1000}
+	caller      = netip.MustParseAddrPort("203.0.113.9:61000")
+	callerBytes = envelope.AppendCaller(nil, caller)
 )
 
-func set(n int) *target.Set {
+func newSet(n int) *target.Set {
 	var all []target.Candidate
 	for i := range n {
 		name := fmt.Sprintf("t%d", i)
-		all = append(all, target.Candidate{ID: target.IDOf(name), Name: name, Incarnation: 1})
+		all = append(all, target.Candidate{ID: target.IDFromName(name), Name: name, Incarnation: 1})
 	}
 	return target.NewSet(1, all)
 }
 
-// A dead target in the middle of the walk swallows what passes it. The flow's
-// owner may be any of the others, so each of them must be the start of some
-// attempt.
+// A dead target in the middle of a walk drops the datagrams that reach it. The flow's
+// owner may be any other target, so each target must be the start of some attempt.
 func TestStartCoversAll(t *testing.T) {
-	s := set(7)
+	s := newSet(7)
 	started := map[target.ID]bool{}
 	for attempt := range 7 {
-		c, _ := s.Start(wired, attempt)
+		c, _ := s.Start(callerBytes, attempt)
 		started[c.ID] = true
 	}
 	if len(started) != 7 {
-		t.Errorf("%d of 7 targets are ever a start", len(started))
+		t.Errorf("%d of 7 targets are the start of an attempt", len(started))
 	}
 }
 
-// A flow without a hint sends several datagrams before its owner is asked and
-// answers. They all start their walk at the same target, the flow's first: it is
-// most often the owner or remembers who is, and starting elsewhere costs a hop.
+// A flow without a hint sends several datagrams before its owner has answered. All of
+// them must start their walk at the flow's first target: it is usually the owner or
+// knows the owner, and starting elsewhere costs a hop.
 func TestWalkStartsAtFirst(t *testing.T) {
 	h := target.NewHints(limits)
-	s := set(7)
-	first, _ := s.Start(wired, 0)
+	s := newSet(7)
+	first, _ := s.Start(callerBytes, 0)
 	for n := range 3 {
-		r, _ := h.Route(clock.Hour+clock.Millis(n), s, caller, wired, false)
+		r, _ := h.Route(clock.Hour+clock.Millis(n), s, caller, callerBytes, false)
 		if r.Target.ID != first.ID {
-			t.Errorf("datagram %d starts at %s, not at %s", n, r.Target.Name, first.Name)
+			t.Errorf("datagram %d starts at %s, want %s", n, r.Target.Name, first.Name)
 		}
 	}
 }
 
-// The owner of a hint stops answering: its process died, or the path between
-// lost track of the tunnel. The caller keeps sending. After a few unanswered
-// asks the next datagram starts its walk at another target, and the silent one
-// is named so that the balancer changes the port it uses towards it.
+// The owner in a hint stops answering: its process died, or a device on the path lost
+// the state of the tunnel. The caller keeps sending. After a few unanswered asks the
+// next datagram must start its walk at another target, and the route must name the
+// silent one, so that the balancer changes its source port towards it.
 func TestSilentOwner(t *testing.T) {
 	h := target.NewHints(limits)
-	s := set(3)
+	s := newSet(3)
 	now := clock.Hour
 	owner := s.Targets[1]
-	h.Confirm(now, 1, caller, wired, owner.ID, 1)
+	h.Confirm(now, 1, caller, callerBytes, owner.ID, 1)
 	var silent target.ID
 	for range 100 {
 		now += 100
-		r, ok := h.Route(now, s, caller, wired, false)
+		r, ok := h.Route(now, s, caller, callerBytes, false)
 		if !ok {
-			t.Fatal("no route")
+			t.Fatal("got no route")
 		}
-		if r.Silent != 0 {
-			silent = r.Silent
+		if r.SilentTarget != 0 {
+			silent = r.SilentTarget
 			if r.Target.ID == owner.ID {
 				t.Error("the walk starts at the silent target again")
 			}
@@ -83,30 +82,30 @@
 		}
 	}
 	if silent != owner.ID {
-		t.Errorf("silent %d, want %d", silent, owner.ID)
+		t.Errorf("silent target %d, want %d", silent, owner.ID)
 	}
 }
 
-// A stranger sends datagrams of flows that nobody owns. Within the budget each
-// walks over all targets; beyond it each reaches one target, which is no more
-// than it cost to send. A flow with a hint is not touched by that.
+// An attacker sends datagrams of flows that no target owns. Within the rate limit each
+// walks over all targets; beyond it each reaches one target, so that it is not
+// amplified. Flows with a hint must not be limited.
 func TestWalkBudget(t *testing.T) {
 	h := target.NewHints(limits)
-	s := set(7)
-	h.Confirm(clock.Hour, 1, caller, wired, s.Targets[0].ID, 1)
+	s := newSet(7)
+	h.Confirm(clock.Hour, 1, caller, callerBytes, s.Targets[0].ID, 1)
 	walked := 0
-	for i := range 10 * limits.Walks {
+	for i := range 10 * limits.WalksPerSecond {
 		a := netip.AddrPortFrom(netip.MustParseAddr("198.51.100.1"), uint16(i+1))
 		r, _ := h.Route(clock.Hour, s, a, envelope.AppendCaller(nil, a), false)
 		if r.Budget > 1 {
 			walked++
 		}
 	}
-	if walked < limits.Walks || walked > 2*limits.Walks {
-		t.Errorf("%d walks, want about %d", walked, limits.Walks)
+	if walked < limits.WalksPerSecond || walked > 2*limits.WalksPerSecond {
+		t.Errorf("%d walks, want about %d", walked, limits.WalksPerSecond)
 	}
-	if r, _ := h.Route(clock.Hour, s, caller, wired, false); r.Budget <= 1 || !r.Hinted {
-		t.Errorf("the known flow is routed as %+v", r)
+	if r, _ := h.Route(clock.Hour, s, caller, callerBytes, false); r.Budget <= 1 || !r.Hinted {
+		t.Errorf("the flow with a hint is routed as %+v", r)
 	}
 }
 
@@ -118,10 +117,10 @@
 	for _, hinted := range []bool{true, false} {
 		b.Run(fmt.Sprintf("hinted=%t", hinted), func(b *testing.B) {
 			sealer := envelope.NewSealer(ring, 1472)
-			h := target.NewHints(target.Limits{Hints: 1 << 16, Pending: 1 << 10, Walks: 1 << 30})
-			s := set(7)
+			h := target.NewHints(target.Limits{MaxHints: 1 << 16, MaxPending: 1 << 10, WalksPerSecond: 1 << 30})
+			s := newSet(7)
 			if hinted {
-				h.Confirm(clock.Hour, 1, caller, wired, s.Targets[0].ID, 1)
+				h.Confirm(clock.Hour, 1, caller, callerBytes, s.Targets[0].ID, 1)
 			}
 			e := &wire.Envelope{Kind: wire.Kind_KIND_FORWARD, Service: 1, Payload: make([]byte, 1200)}
 			out, key := make([]byte, 0, 2048), make([]byte, 0, 18)
--- a/internal/standin/model/balancer.go
+++ b/internal/standin/model/balancer.go
@@ -28,7 +28,7 @@
 	b := &Balancer{
 		world: w, roster: roster{},
 		address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 1),
-		hints:   target.NewHints(target.Limits{Hints: 1 << 16, Pending: 1 << 14, Walks: 1 << 20}),
+		hints:   target.NewHints(target.Limits{MaxHints: 1 << 16, MaxPending: 1 << 14, WalksPerSecond: 1 << 20}),
 	}
 	w.Balancers = append(w.Balancers, b)
 	for _, c := range w.news {
@@ -45,7 +45,7 @@
 
 // Forget makes the balancer lose its hints, as a full memory does.
 func (b *Balancer) Forget() {
-	b.hints = target.NewHints(target.Limits{Hints: 1 << 16, Pending: 1 << 14, Walks: 1 << 20})
+	b.hints = target.NewHints(target.Limits{MaxHints: 1 << 16, MaxPending: 1 << 14, WalksPerSecond: 1 << 20})
 }
 
 // forward does what a balancer does with a caller's datagram.
@@ -69,11 +69,11 @@
 		Incarnation: route.Target.Incarnation, Caller: key, Ask: route.Ask, Budget: route.Budget, Payload: d.bytes(),
 	}
 	if w.Options.Without != Rotation {
-		if route.Silent != 0 {
-			b.paths.Change(w.Now(), route.Silent)
+		if route.SilentTarget != 0 {
+			b.paths.ChangePort(w.Now(), route.SilentTarget)
 		}
 		if route.Ask {
-			b.paths.Asked(w.Now(), route.Target.ID)
+			b.paths.RecordAsk(w.Now(), route.Target.ID)
 		}
 	}
 	w.Datagrams++
@@ -84,7 +84,7 @@
 // confirm takes an owner's hint.
 func (b *Balancer) confirm(caller netip.AddrPort, owner target.ID, incarnation uint32) {
 	if !b.Dead {
-		b.paths.Heard(owner)
+		b.paths.RecordAnswer(owner)
 		b.hints.Confirm(b.world.Now(), service, caller, envelope.AppendCaller(nil, caller), owner, incarnation)
 	}
 }
--- a/internal/standin/model/target.go
+++ b/internal/standin/model/target.go
@@ -77,7 +77,7 @@
 
 func (w *World) newTarget(name string, host uint16, incarnation uint32) *Target {
 	t := &Target{
-		world: w, Name: name, ID: target.IDOf(name), Incarnation: incarnation, roster: roster{}, service: service,
+		world: w, Name: name, ID: target.IDFromName(name), Incarnation: incarnation, roster: roster{}, service: service,
 		tunnel:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(host >> 8), byte(host)}), 1),
 		started: w.Now(), upstream: map[uint64]netip.AddrPort{}, links: map[netip.AddrPort]*owner.Flow{},
 	}
--- a/internal/try/world.go
+++ b/internal/try/world.go
@@ -227,7 +227,7 @@
 	settings := balancer.Settings{
 		Name: name, Domain: domain, Control: netip.AddrPortFrom(edge, 0), Tunnel: edge, Ports: 2,
 		Edge: edge, Peers: peers, Workers: 2, MTU: mtu,
-		Limits: target.Limits{Hints: 1 << 16, Pending: 1 << 14, Walks: 20000},
+		Limits: target.Limits{MaxHints: 1 << 16, MaxPending: 1 << 14, WalksPerSecond: 20000},
 	}
 	b, err := balancer.New(settings, balancer.Deps{
 		Ring: w.ring, Store: w.store, Clock: w.clock, Log: w.log.With().Str("process", name).Logger(),
