--- a/internal/measures/openings.go
+++ b/internal/measures/openings.go
@@ -38,11 +38,11 @@
 // Openings opens flows while targets change.
 func Openings(seed uint64, flows int, every, spread time.Duration) Opened {
 	w := model.New(model.Options{
-		Seed: seed, Targets: openTargets, Balancers: openBalancers, Jitter: 5, Loss: 0.001, Duplicate: 0.001, Spread: clock.Of(spread),
+		Seed: seed, Targets: openTargets, Balancers: openBalancers, Jitter: 5, Loss: 0.001, Duplicate: 0.001, Spread: clock.FromDuration(spread),
 	})
 	random := rand.New(rand.NewPCG(seed, 11))
 	out := Opened{Flows: flows}
-	next := w.Now() + clock.Of(every)
+	next := w.Now() + clock.FromDuration(every)
 	for i := range flows {
 		c := w.Open(openLength)
 		if i%resendEvery == 0 {
@@ -51,7 +51,7 @@
 		}
 		w.Run(openGap)
 		if w.Now() >= next {
-			next += clock.Of(every)
+			next += clock.FromDuration(every)
 			out.Changes++
 			change(w, random)
 		}
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -46,13 +46,13 @@
 // next heartbeat's answer tells it of the successor, and it ends.
 func TestWokenHolderIsFenced(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	a := newTest(t, c)
 	a.confirmed.Store(int64(c.Now()))
-	if a.fenced(c.Add(1500)) {
+	if a.fenced(c.Advance(1500)) {
 		t.Error("fenced within the lease")
 	}
-	if !a.fenced(c.Add(1)) {
+	if !a.fenced(c.Advance(1)) {
 		t.Error("serves beyond the lease")
 	}
 	err := a.takeReply(&wire.Announced{Incarnation: 5}, false)
@@ -109,7 +109,7 @@
 // the predecessor has been forgotten meanwhile, and a drain goes before either.
 func TestJoining(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	a := newTest(t, c)
 	a.version = 1
 	a.inherited.Store(false)
@@ -120,11 +120,11 @@
 	if a.self.State != member.Joining || a.accepting.Load() || a.Ready() == "" {
 		t.Errorf("state %s, accepting %t", a.self.State, a.accepting.Load())
 	}
-	c.Add(owner.NewsLag)
+	c.Advance(owner.NewsLag)
 	if a.settle() {
 		t.Error("joined before the news are everywhere")
 	}
-	c.Add(1)
+	c.Advance(1)
 	if !a.settle() || a.self.State != member.Alive || !a.accepting.Load() {
 		t.Errorf("state %s after its time, accepting %t", a.self.State, a.accepting.Load())
 	}
@@ -155,10 +155,10 @@
 	a.table = owner.NewTable(a.limits(), owner.NewLoads(1))
 	a.drained = true
 	a.setState()
-	if a.drainOver(c.Add(clock.Hour)) {
+	if a.drainOver(c.Advance(clock.Hour)) {
 		t.Error("over at the limit")
 	}
-	if !a.drainOver(c.Add(1)) {
+	if !a.drainOver(c.Advance(1)) {
 		t.Error("not over beyond the limit")
 	}
 	a.record.DrainTimeout = 2 * clock.Hour
@@ -167,7 +167,7 @@
 	}
 	a.drained = false
 	a.setState()
-	if a.drainOver(c.Add(clock.Hour * 9)) {
+	if a.drainOver(c.Advance(clock.Hour * 9)) {
 		t.Error("over although the target does not drain")
 	}
 }
--- a/internal/process/agent/announce.go
+++ b/internal/process/agent/announce.go
@@ -40,7 +40,7 @@
 			a.mu.Unlock()
 			return a.incarnate(ctx, known)
 		}
-		if !sleep(ctx, clock.Of(pause.NextBackOff())) {
+		if !sleep(ctx, clock.FromDuration(pause.NextBackOff())) {
 			return context.Cause(ctx)
 		}
 	}
--- a/internal/process/agent/hold_test.go
+++ b/internal/process/agent/hold_test.go
@@ -27,7 +27,7 @@
 func newPaused(t *testing.T) *paused {
 	t.Helper()
 	p := &paused{t: t, clock: &clock.Manual{}, scope: tally.NewTestScope("", nil)}
-	p.clock.Add(clock.Hour)
+	p.clock.Advance(clock.Hour)
 	a := newTest(t, p.clock)
 	p.Agent, p.worker = a, a.newWorker()
 	a.count = newCounters(p.scope)
@@ -48,7 +48,7 @@
 	a.rebuildLocked()
 	a.confirmed.Store(int64(p.clock.Now()))
 	p.read("203.0.113.9:4433", wire.Stage_STAGE_OPEN)
-	p.clock.Add(a.lease() + 1)
+	p.clock.Advance(a.lease() + 1)
 	return p
 }
 
@@ -69,7 +69,7 @@
 // wakes confirms the lease after a while and returns how many datagrams have reached the
 // upstream.
 func (p *paused) wakes(after clock.Millis) int64 {
-	p.confirm(p.clock.Add(after))
+	p.confirm(p.clock.Advance(after))
 	p.release(p.worker)
 	return p.scope.Snapshot().Counters()["delivered+"].Value()
 }
--- a/internal/process/agent/takeover.go
+++ b/internal/process/agent/takeover.go
@@ -92,7 +92,7 @@
 		if a.fromDirect(newest) || len(left) == 0 {
 			break
 		}
-		sleep(ctx, clock.Of(pause.NextBackOff()))
+		sleep(ctx, clock.FromDuration(pause.NextBackOff()))
 	}
 	return newest
 }
--- a/internal/process/agent/takeover_test.go
+++ b/internal/process/agent/takeover_test.go
@@ -178,7 +178,7 @@
 	if err := a.keep(&wire.Keep{Target: "web.t2", Ledger: []byte("flows")}); err != nil {
 		t.Fatal(err)
 	}
-	c.Add(clock.Minute + 1)
+	c.Advance(clock.Minute + 1)
 	if got := a.giveLedger(&wire.Take{Target: "web.t2", Incarnation: 6}); len(got.Ledger) > 0 {
 		t.Errorf("got %q", got.Ledger)
 	}
--- a/internal/process/balancer/relay.go
+++ b/internal/process/balancer/relay.go
@@ -62,7 +62,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-after(clock.Of(pause.NextBackOff())):
+		case <-after(clock.FromDuration(pause.NextBackOff())):
 		}
 	}
 }
--- a/internal/process/balancer/relay_test.go
+++ b/internal/process/balancer/relay_test.go
@@ -69,7 +69,7 @@
 // that is silent while the balancer runs is late.
 func TestOwnPauseSuspectsNobody(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	b := newTest(t, c)
 	configure(t, b, anyPort, anyPort)
 	timing := b.timing()
@@ -78,12 +78,12 @@
 		t.Fatal(err)
 	}
 	b.overdue(c.Now(), timing)
-	if late := b.overdue(c.Add(clock.Minute), timing); len(late) != 0 {
+	if late := b.overdue(c.Advance(clock.Minute), timing); len(late) != 0 {
 		t.Errorf("%d targets are late after the balancer's own pause", len(late))
 	}
 	late := 0
 	for range 10 {
-		late += len(b.overdue(c.Add(timing.HeartbeatInterval), timing))
+		late += len(b.overdue(c.Advance(timing.HeartbeatInterval), timing))
 	}
 	if late != 1 {
 		t.Errorf("late %d times, want once until it is probed", late)
@@ -95,7 +95,7 @@
 // others. For those it is not late in between, and they do not probe it.
 func TestOtherContactsArePatient(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	b := newTest(t, c)
 	configure(t, b, anyPort, anyPort)
 	timing := b.timing()
@@ -107,7 +107,7 @@
 			a.beat.Number = number
 			b.beat(a)
 		}
-		if late := b.overdue(c.Add(timing.HeartbeatInterval), timing); len(late) > 0 && number > 2*mostGap {
+		if late := b.overdue(c.Advance(timing.HeartbeatInterval), timing); len(late) > 0 && number > 2*mostGap {
 			t.Fatalf("late at beat %d", number)
 		}
 		b.heard[webTarget(anyPort).Key].probing = false
--- a/internal/process/streamagent/agent_test.go
+++ b/internal/process/streamagent/agent_test.go
@@ -132,7 +132,7 @@
 	a := testAgent(t, false)
 	d := &away{until: 2}
 	a.deps = Deps{Finder: d, Clock: &clock.Manual{}, Log: zerolog.Nop()}
-	a.deps.Clock.(*clock.Manual).Add(testNow)
+	a.deps.Clock.(*clock.Manual).Advance(testNow)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	go a.finds(ctx)
--- a/internal/process/streambalancer/evacuations_test.go
+++ b/internal/process/streambalancer/evacuations_test.go
@@ -36,7 +36,7 @@
 func reader(t *testing.T, o *orders) (*Balancer, *clock.Manual) {
 	t.Helper()
 	c := &clock.Manual{}
-	c.Add(testNow)
+	c.Advance(testNow)
 	b := newBalancer(Settings{Name: "b", Domain: "d", Share: 100, Parcels: peerAddress(0)}, Deps{
 		Codec: plain{}, Orders: o, Clock: c, Log: zerolog.Nop(), Scope: tally.NoopScope,
 	}, 1)
@@ -85,7 +85,7 @@
 		if _, err := b.updateEvacuations(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		c.Add(idleWaitMillis)
+		c.Advance(idleWaitMillis)
 	}
 	if took > 4200 || !slices.Equal(o.waitFor, []uint64{5}) {
 		t.Errorf("known after %d ms, waited from %v", took, o.waitFor)
--- a/internal/process/streambalancer/fleet_test.go
+++ b/internal/process/streambalancer/fleet_test.go
@@ -187,7 +187,7 @@
 // tick sets the clock of a station.
 func (f *returning) tick(s *station) clock.Millis {
 	at := testNow + clock.Millis(f.now/1000)
-	s.clock.Add(at.Sub(s.clock.Now()))
+	s.clock.Advance(at.Sub(s.clock.Now()))
 	return at
 }
 
--- a/internal/process/streambalancer/surprise_test.go
+++ b/internal/process/streambalancer/surprise_test.go
@@ -103,7 +103,7 @@
 	for seed := range uint64(8) {
 		r := surprise{rand.New(rand.NewPCG(seed, 9))}
 		manual := &clock.Manual{}
-		manual.Add(testNow)
+		manual.Advance(testNow)
 		b := newBalancer(Settings{
 			Name: "b000", Domain: "d0", Parcels: peerAddress(0), FlowLife: clock.Minute,
 			Checkpoint: checkpoint.KeeperSettings{Value: 1 << 16, Life: clock.Minute, Writes: 10},
@@ -111,7 +111,7 @@
 		b.link, b.callers = nowhere{t}, nowhere{t}
 		b.steerer.SetKeeper(seed%2 == 0)
 		for range 2000 {
-			manual.Add(clock.Millis(r.IntN(60)))
+			manual.Advance(clock.Millis(r.IntN(60)))
 			b.hear(peerAddress(r.IntN(40)), r.parcel(), nil)
 			if r.IntN(3) == 0 {
 				b.step()
--- a/internal/process/streambalancer/tick.go
+++ b/internal/process/streambalancer/tick.go
@@ -50,7 +50,7 @@
 
 // noteLate notes that this process stood still, or is short of processor time.
 func (b *Balancer) noteLate(now clock.Millis) {
-	late := now.Sub(b.stepped) - clock.Of(tick)
+	late := now.Sub(b.stepped) - clock.FromDuration(tick)
 	if b.stepped != 0 && late > lateNoted {
 		b.deps.Scope.Timer("late").Record(late.Duration())
 		b.deps.Log.Warn().Str("event", "late").Int64("age", int64(late)).Int("searches", b.steerer.Searches()).Send()
--- a/internal/standin/model/script.go
+++ b/internal/standin/model/script.go
@@ -214,7 +214,7 @@
 
 func millis(s string) (clock.Millis, error) {
 	d, err := time.ParseDuration(s)
-	return clock.Of(d), errs.Wrap(err)
+	return clock.FromDuration(d), errs.Wrap(err)
 }
 
 // options reads the sizes of a world.
--- a/internal/standin/timeline/timeline.go
+++ b/internal/standin/timeline/timeline.go
@@ -50,10 +50,10 @@
 	end := t.Now() + d
 	for len(t.events) > 0 && t.events[0].at <= end {
 		e := heap.Pop(&t.events).(event)
-		t.clock.Add(e.at - t.Now())
+		t.clock.Advance(e.at - t.Now())
 		e.do()
 	}
-	t.clock.Add(end - t.Now())
+	t.clock.Advance(end - t.Now())
 }
 
 type event struct {
--- a/internal/try/world.go
+++ b/internal/try/world.go
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	faults := fabric.Faults{
-		Delay: clock.Of(durationOf(a.Delays.Callers)).Duration(), Jitter: clock.Millis(1).Duration(),
+		Delay: clock.FromDuration(durationOf(a.Delays.Callers)).Duration(), Jitter: clock.Millis(1).Duration(),
 		Loss: 0.002, Duplicate: 0.002,
 	}
 	w.fabric = fabric.New(faults, seed)
--- a/internal/version/config/generate.go
+++ b/internal/version/config/generate.go
@@ -76,7 +76,7 @@
 
 func (g *Generated) deriveTiming(a *answers.Answers) {
 	t := &g.State.Root.Timing
-	delay := clock.Of(time.Duration(max(a.Delays.Domains, a.Delays.Regions)))
+	delay := clock.FromDuration(time.Duration(max(a.Delays.Domains, a.Delays.Regions)))
 	beats := minHeartbeats
 	if a.Delays.Loss > 0 {
 		beats = max(beats, int(math.Ceil(math.Log(maxFalseSuspicionRate)/math.Log(a.Delays.Loss))))
@@ -92,7 +92,7 @@
 	g.addReason("timing.linger", t.LingerTime, "a leaving balancer serves until the other processes know that it leaves")
 	t.Retention = minRetention
 	for i := range a.Services {
-		t.Retention = max(t.Retention, clock.Of(time.Duration(a.Services[i].Idle)))
+		t.Retention = max(t.Retention, clock.FromDuration(time.Duration(a.Services[i].Idle)))
 	}
 	why := "no flow stays open without a datagram for longer than the longest idle timeout"
 	if a.Weight == answers.Broken {
@@ -105,8 +105,8 @@
 func (g *Generated) deriveService(a *answers.Answers, s *answers.Service, base *State) {
 	record := &Service{
 		Name: s.Name, Address: s.Address.AddrPort, Slots: s.Slots,
-		IdleTimeout: clock.Of(time.Duration(s.Idle)), DrainTimeout: clock.Of(time.Duration(s.Drain)),
-		RampTime: clock.Of(time.Duration(s.ColdStart)), UnansweredTimeout: handshakeTimeout,
+		IdleTimeout: clock.FromDuration(time.Duration(s.Idle)), DrainTimeout: clock.FromDuration(time.Duration(s.Drain)),
+		RampTime: clock.FromDuration(time.Duration(s.ColdStart)), UnansweredTimeout: handshakeTimeout,
 	}
 	for _, p := range s.Upstreams {
 		record.Upstreams = append(record.Upstreams, p.Prefix)
--- a/internal/version/routing/routing.go
+++ b/internal/version/routing/routing.go
@@ -175,7 +175,7 @@
 
 // NewHistory returns an empty history.
 func NewHistory(keep time.Duration) *History {
-	return &History{FlowTTL: clock.Of(keep), lastUsed: map[netip.AddrPort]map[string]clock.Millis{}}
+	return &History{FlowTTL: clock.FromDuration(keep), lastUsed: map[netip.AddrPort]map[string]clock.Millis{}}
 }
 
 // SetCurrent records that a version takes effect now. The previous version was in
--- a/pkg/answers/answers.go
+++ b/pkg/answers/answers.go
@@ -1,13 +1,13 @@
 // Package answers reads the questionnaire that operators fill in. The answers
-// describe the services, the failure domains and what the users tolerate; the
-// configuration is generated from them and never written by hand.
+// describe the services, the failure domains and the network; the configuration is
+// generated from them and never written by hand.
 //
 // # Usage
 //
 //	a, err := answers.Parse(data)
-//	if err != nil { ... } // every mistake, with line and column
+//	if err != nil { ... } // all errors, with line and column
 //
-// The format is YAML, read strictly: an unknown field is a mistake.
+// The format is YAML, decoded strictly: an unknown field is an error.
 package answers
 
 import (
@@ -21,14 +21,14 @@
 // ErrAnswers is in the chain of every error about the content of answers.
 var ErrAnswers = errs.New("answers")
 
-// Weight says which of the two measures counts more.
+// Weight selects which of two objectives has priority.
 type Weight string
 
 // Weights.
 const (
-	// Broken flows count more: views are kept longer.
+	// Broken gives priority to avoiding broken flows: views are retained longer.
 	Broken Weight = "broken"
-	// Imbalance counts more: load is told more often.
+	// Imbalance gives priority to balanced load: agents send their load more often.
 	Imbalance Weight = "imbalance"
 )
 
@@ -49,12 +49,12 @@
 
 // Delays describes the network.
 type Delays struct {
-	// Domains is the one-way delay between failure domains, Regions that
-	// between regions, Callers that to the callers.
+	// Domains is the one-way delay between failure domains, Regions the delay
+	// between regions, Callers the delay to the callers.
 	Domains Duration `yaml:"domains"`
 	Regions Duration `yaml:"regions,omitempty"`
 	Callers Duration `yaml:"callers"`
-	// Loss is the share of packets lost between failure domains.
+	// Loss is the fraction of packets lost between failure domains.
 	Loss float64 `yaml:"loss"`
 }
 
@@ -62,13 +62,13 @@
 type Service struct {
 	Name    string  `yaml:"name"`
 	Address Address `yaml:"address"`
-	// Upstreams are the prefixes from which targets may announce themselves.
+	// Upstreams are the prefixes of the upstream addresses that targets may announce.
 	Upstreams []Prefix `yaml:"upstreams"`
 	// Connections and Slots are the capacity of one target.
 	Connections int `yaml:"connections"`
 	Slots       int `yaml:"slots"`
-	// Idle is how long a flow may be silent: no shorter than the idle time of its
-	// connections, which pause for seconds between two copies of a lost datagram.
+	// Idle is the idle timeout of a flow. It must be no shorter than that of its
+	// connections, which pause for seconds between retransmissions of a lost datagram.
 	// Drain is how long a target may take to finish its flows, ColdStart how long it
 	// takes to warm up.
 	Idle      Duration `yaml:"idle"`
@@ -76,21 +76,21 @@
 	ColdStart Duration `yaml:"coldstart"`
 }
 
-// Parse reads and checks answers. The error names every mistake of meaning at
-// once; a mistake of form ends the reading where it stands.
+// Parse decodes and validates answers. The returned error joins all validation
+// errors; decoding stops at the first syntax error or unknown field.
 func Parse(data []byte) (*Answers, error) {
 	var a Answers
 	if err := yaml.UnmarshalWithOptions(data, &a, yaml.Strict()); err != nil {
-		return nil, mistake("%s", yaml.FormatError(err, false, true))
+		return nil, newError("%s", yaml.FormatError(err, false, true))
 	}
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
-		return nil, mistake("%s", yaml.FormatError(err, false, true))
+		return nil, newError("%s", yaml.FormatError(err, false, true))
 	}
 	c := &checker{file: file}
 	c.answers(&a)
-	if len(c.found) > 0 {
-		return nil, errors.Join(c.found...)
+	if len(c.errors) > 0 {
+		return nil, errors.Join(c.errors...)
 	}
 	return &a, nil
 }
--- a/pkg/answers/answers_test.go
+++ b/pkg/answers/answers_test.go
@@ -16,7 +16,7 @@
 			return fmt.Sprintf("good: %d failure domains, %d services", len(got.Domains), len(got.Services))
 		}
 		if !errors.Is(err, answers.ErrAnswers) {
-			t.Errorf("%v is not an error about answers", err)
+			t.Errorf("%v is not an ErrAnswers", err)
 		}
 		return err.Error()
 	})
--- a/pkg/answers/check.go
+++ b/pkg/answers/check.go
@@ -9,43 +9,43 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Bounds of what the system is built for.
+// Limits for which the system is designed.
 const (
 	maxServices    = 4096
 	maxDomains     = 64
 	maxConnections = 200000
 	maxDelay       = 2 * time.Second
 	maxLoss        = 0.5
-	leastIdle      = time.Second
+	minIdle        = time.Second
 )
 
-var name = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// wrapped keeps the text of a mistake and ErrAnswers in its chain.
-type wrapped struct{ text string }
+// contentError is an error about the content of answers. It wraps ErrAnswers.
+type contentError struct{ text string }
 
-func (w *wrapped) Error() string { return w.text }
-func (w *wrapped) Unwrap() error { return ErrAnswers }
+func (w *contentError) Error() string { return w.text }
+func (w *contentError) Unwrap() error { return ErrAnswers }
 
-func mistake(format string, args ...any) error {
-	return &wrapped{text: fmt.Sprintf(format, args...)}
+func newError(format string, args ...any) error {
+	return &contentError{text: fmt.Sprintf(format, args...)}
 }
 
-// checker collects the mistakes of meaning, each with its place in the file.
+// checker collects the validation errors, each with its position in the file.
 type checker struct {
-	file  *ast.File
-	found []error
+	file   *ast.File
+	errors []error
 }
 
-func (c *checker) add(path, format string, args ...any) {
+func (c *checker) addError(path, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	c.found = append(c.found, mistake("%s%s: %s", c.place(path), path, text))
+	c.errors = append(c.errors, newError("%s%s: %s", c.position(path), path, text))
 }
 
-// place returns the line and column of a path, or those of the nearest part
-// of it that the file has: a field that is missing has no place of its own.
-func (c *checker) place(path string) string {
-	for p := path; p != ""; p = parent(p) {
+// position returns the line and column of a path. For a missing field it returns
+// those of the nearest parent that the file contains.
+func (c *checker) position(path string) string {
+	for p := path; p != ""; p = parentPath(p) {
 		y, err := yaml.PathString("$." + p)
 		if err != nil {
 			continue
@@ -60,7 +60,7 @@
 	return "1:1: "
 }
 
-func parent(path string) string {
+func parentPath(path string) string {
 	for i := len(path) - 1; i > 0; i-- {
 		if path[i] == '.' || path[i] == '[' {
 			return path[:i]
@@ -70,11 +70,11 @@
 }
 
 func (c *checker) answers(a *Answers) {
-	if !name.MatchString(a.Deployment) {
-		c.add("deployment", "want a name of lower-case letters, digits and dashes")
+	if !namePattern.MatchString(a.Deployment) {
+		c.addError("deployment", "want a name of lower-case letters, digits and dashes")
 	}
 	if a.Weight != Broken && a.Weight != Imbalance {
-		c.add("weight", "want %q or %q: the measure that counts more", Broken, Imbalance)
+		c.addError("weight", "want %q or %q: the objective that has priority", Broken, Imbalance)
 	}
 	c.domains(a.Domains)
 	c.delays(a.Delays)
@@ -83,19 +83,19 @@
 
 func (c *checker) domains(domains []Domain) {
 	if len(domains) == 0 || len(domains) > maxDomains {
-		c.add("domains", "want 1 to %d failure domains, not %d", maxDomains, len(domains))
+		c.addError("domains", "want 1 to %d failure domains, not %d", maxDomains, len(domains))
 	}
 	seen := map[string]bool{}
 	for i, d := range domains {
 		path := fmt.Sprintf("domains[%d]", i)
-		if !name.MatchString(d.Name) {
-			c.add(path+".name", "want a name of lower-case letters, digits and dashes")
+		if !namePattern.MatchString(d.Name) {
+			c.addError(path+".name", "want a name of lower-case letters, digits and dashes")
 		}
-		if !name.MatchString(d.Region) {
-			c.add(path+".region", "want a name of lower-case letters, digits and dashes")
+		if !namePattern.MatchString(d.Region) {
+			c.addError(path+".region", "want a name of lower-case letters, digits and dashes")
 		}
 		if seen[d.Name] {
-			c.add(path+".name", "%q stands twice", d.Name)
+			c.addError(path+".name", "%q is listed twice", d.Name)
 		}
 		seen[d.Name] = true
 	}
@@ -106,23 +106,23 @@
 	c.duration("delays.regions", d.Regions, 0, maxDelay)
 	c.duration("delays.callers", d.Callers, 0, maxDelay)
 	if d.Loss < 0 || d.Loss > maxLoss {
-		c.add("delays.loss", "want a share from 0 to %g, not %g", maxLoss, d.Loss)
+		c.addError("delays.loss", "want a share from 0 to %g, not %g", maxLoss, d.Loss)
 	}
 }
 
 func (c *checker) duration(path string, d Duration, least, most time.Duration) {
-	if time.Duration(d) == unreadable {
-		c.add(path, "want a duration as in 300ms, 20s or 4h")
+	if time.Duration(d) == invalidDuration {
+		c.addError(path, "want a duration as in 300ms, 20s or 4h")
 		return
 	}
 	if time.Duration(d) < least || time.Duration(d) > most {
-		c.add(path, "want %s to %s, not %s", least, most, time.Duration(d))
+		c.addError(path, "want %s to %s, not %s", least, most, time.Duration(d))
 	}
 }
 
 func (c *checker) services(services []Service) {
 	if len(services) > maxServices {
-		c.add("services", "want at most %d services, not %d", maxServices, len(services))
+		c.addError("services", "want at most %d services, not %d", maxServices, len(services))
 	}
 	names := map[string]bool{}
 	addresses := map[string]string{}
@@ -131,42 +131,42 @@
 		path := fmt.Sprintf("services[%d]", i)
 		c.service(path, s)
 		if names[s.Name] {
-			c.add(path+".name", "%q stands twice", s.Name)
+			c.addError(path+".name", "%q is listed twice", s.Name)
 		}
 		names[s.Name] = true
 		address := s.Address.String()
 		if other, ok := addresses[address]; ok {
-			c.add(path+".address", "%s is the address of %q too", address, other)
+			c.addError(path+".address", "%s is also the address of %q", address, other)
 		}
 		addresses[address] = s.Name
 	}
 }
 
-// day bounds the times that answers give.
+// day is the maximum of an idle timeout and of a drain time.
 const day = 24 * time.Hour
 
 func (c *checker) service(path string, s *Service) {
-	if !name.MatchString(s.Name) {
-		c.add(path+".name", "want a name of lower-case letters, digits and dashes")
+	if !namePattern.MatchString(s.Name) {
+		c.addError(path+".name", "want a name of lower-case letters, digits and dashes")
 	}
 	if !s.Address.IsValid() || s.Address.Port() == 0 {
-		c.add(path+".address", "want an IP address and a port, as in 192.0.2.7:443")
+		c.addError(path+".address", "want an IP address and a port, as in 192.0.2.7:443")
 	}
 	if len(s.Upstreams) == 0 {
-		c.add(path+".upstreams", "want at least one prefix from which targets may serve, as in 10.1.0.0/16")
+		c.addError(path+".upstreams", "want at least one prefix from which targets may serve, as in 10.1.0.0/16")
 	}
 	for j, p := range s.Upstreams {
 		if !p.IsValid() {
-			c.add(fmt.Sprintf("%s.upstreams[%d]", path, j), "want a prefix, as in 10.1.0.0/16")
+			c.addError(fmt.Sprintf("%s.upstreams[%d]", path, j), "want a prefix, as in 10.1.0.0/16")
 		}
 	}
 	if s.Connections < 1 || s.Connections > maxConnections {
-		c.add(path+".connections", "want 1 to %d connections a target, not %d", maxConnections, s.Connections)
+		c.addError(path+".connections", "want 1 to %d connections per target, not %d", maxConnections, s.Connections)
 	}
 	if s.Slots < 1 || s.Slots > maxConnections {
-		c.add(path+".slots", "want 1 to %d slots a target, not %d", maxConnections, s.Slots)
+		c.addError(path+".slots", "want 1 to %d slots per target, not %d", maxConnections, s.Slots)
 	}
-	c.duration(path+".idle", s.Idle, leastIdle, day)
+	c.duration(path+".idle", s.Idle, minIdle, day)
 	c.duration(path+".drain", s.Drain, 0, day)
 	c.duration(path+".coldstart", s.ColdStart, 0, time.Hour)
 }
--- a/pkg/answers/values.go
+++ b/pkg/answers/values.go
@@ -8,27 +8,27 @@
 	"github.com/goccy/go-yaml"
 )
 
-// The types of this file read what they can and keep the rest as a value that
-// no check accepts. So a mistake in one of them is named together with all
-// others and with its place in the file, which a decoder does not know.
+// The types of this file decode input that they cannot parse to a value that the
+// checker rejects. So the error is reported together with all others and with its
+// position in the file, which a decoder does not know.
 
-// Duration is a length of time written as in "3ms" or "4h".
+// Duration is a duration such as "3ms" or "4h".
 type Duration time.Duration
 
-// unreadable marks a duration that could not be read.
-const unreadable = time.Duration(math.MinInt64)
+// invalidDuration marks a duration that could not be parsed.
+const invalidDuration = time.Duration(math.MinInt64)
 
-// UnmarshalYAML reads the written form.
+// UnmarshalYAML parses a duration.
 func (d *Duration) UnmarshalYAML(b []byte) error {
-	v, err := time.ParseDuration(text(b))
+	v, err := time.ParseDuration(scalarText(b))
 	if err != nil {
-		v = unreadable
+		v = invalidDuration
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// MarshalYAML gives the written form.
+// MarshalYAML formats the duration.
 func (d Duration) MarshalYAML() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
@@ -38,10 +38,10 @@
 	netip.AddrPort
 }
 
-// UnmarshalYAML reads the written form.
+// UnmarshalYAML parses an address.
 func (a *Address) UnmarshalYAML(b []byte) error {
-	// A failure leaves the invalid address.
-	a.AddrPort, _ = netip.ParseAddrPort(text(b))
+	// On an error the address stays invalid.
+	a.AddrPort, _ = netip.ParseAddrPort(scalarText(b))
 	return nil
 }
 
@@ -50,15 +50,15 @@
 	netip.Prefix
 }
 
-// UnmarshalYAML reads the written form.
+// UnmarshalYAML parses a prefix.
 func (p *Prefix) UnmarshalYAML(b []byte) error {
-	// A failure leaves the invalid prefix.
-	p.Prefix, _ = netip.ParsePrefix(text(b))
+	// On an error the prefix stays invalid.
+	p.Prefix, _ = netip.ParsePrefix(scalarText(b))
 	return nil
 }
 
-// text returns a scalar without its quotes; anything else gives nothing.
-func text(b []byte) string {
+// scalarText returns a scalar without its quotes, or "" for anything else.
+func scalarText(b []byte) string {
 	var s string
 	if yaml.Unmarshal(b, &s) != nil {
 		return ""
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,14 +1,14 @@
-// Package clock is the project's only notion of time: milliseconds since an
+// Package clock provides the time used throughout the project: milliseconds since an
 // origin that is private to the process.
 //
-// Clocks differ between VMs, so a Millis never travels between processes: a
-// process compares only readings that it took itself. Ages and durations may
-// travel, for they need no common origin.
+// Clocks differ between VMs, so a reading is never sent to another process: a
+// process compares only its own readings. Ages and durations may be sent, because
+// they need no common origin.
 //
 // # Usage
 //
-// Decisions take a Millis as an argument and never read a clock. Shells hold
-// a Clock and read it once for each event:
+// Decision code takes a Millis as an argument and never reads a clock. The code
+// around it holds a Clock and reads it once per event:
 //
 //	c := clock.System()
 //	start := c.Now()
@@ -21,10 +21,10 @@
 	"time"
 )
 
-// Millis is a reading or a length of time, in milliseconds.
+// Millis is a clock reading or a duration, in milliseconds.
 type Millis int64
 
-// Lengths that settings are written in.
+// Common durations.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
@@ -36,47 +36,47 @@
 	return m - o
 }
 
-// Duration converts m for the standard library.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
 
-// Of converts a standard duration, rounding down to a millisecond.
-func Of(d time.Duration) Millis {
+// FromDuration converts a time.Duration, truncating it to milliseconds.
+func FromDuration(d time.Duration) Millis {
 	return Millis(d / time.Millisecond)
 }
 
-// Clock reads the time of one process.
+// Clock returns the time of one process.
 type Clock interface {
 	Now() Millis
 }
 
-type system struct {
+type systemClock struct {
 	origin time.Time
 }
 
-// System returns a clock that starts at a large reading rather than at zero,
-// so that "long ago" can be written as zero. It is monotonic: a step of the
-// VM's wall clock does not move it.
+// System returns a clock that starts at 24 hours rather than at zero, so that zero
+// is in the distant past. It is monotonic: a step of the VM's wall clock does not
+// affect it.
 func System() Clock {
-	return &system{origin: time.Now().Add(-24 * time.Hour)}
+	return &systemClock{origin: time.Now().Add(-24 * time.Hour)}
 }
 
-func (s *system) Now() Millis {
-	return Of(time.Since(s.origin))
+func (s *systemClock) Now() Millis {
+	return FromDuration(time.Since(s.origin))
 }
 
-// Manual is a clock that tests set.
+// Manual is a clock that tests control.
 type Manual struct {
 	now atomic.Int64
 }
 
-// Now returns the reading that was last set.
+// Now returns the current reading.
 func (m *Manual) Now() Millis {
 	return Millis(m.now.Load())
 }
 
-// Add moves the clock by d.
-func (m *Manual) Add(d Millis) Millis {
+// Advance moves the clock forward by d and returns the new reading.
+func (m *Manual) Advance(d Millis) Millis {
 	return Millis(m.now.Add(int64(d)))
 }
--- a/pkg/key/key.go
+++ b/pkg/key/key.go
@@ -1,16 +1,16 @@
-// Package key holds the deployment key, the one secret that the processes of
-// a deployment share.
+// Package key implements the deployment key, the secret shared by all processes of
+// a deployment.
 //
-// A Ring has one key that signs and up to one more that is still accepted, so
-// that a key is rotated without a moment in which two processes refuse each
-// other: first every process accepts the new key beside the old, then every
-// process signs with the new one, then the old one goes.
+// A Ring has one key that signs and up to one more that is accepted, so that a key
+// can be rotated while all processes accept each other: first every process accepts
+// the new key in addition to the old, then every process signs with the new one,
+// then the old one is removed.
 //
 // # Usage
 //
 //	ring, err := key.Parse("6f1c...,a93b...") // the first one signs
 //
-// The key itself is never used on the wire: each purpose derives its own.
+// The deployment key is never used directly: each purpose derives its own key.
 package key
 
 import (
@@ -26,41 +26,41 @@
 // Size is the length of a deployment key in bytes.
 const Size = 32
 
-// maxKeys is how many keys a ring accepts: the one that signs and the one
-// that is on its way in or out.
+// maxKeys is how many keys a ring may have: the one that signs and the one being
+// added or removed during a rotation.
 const maxKeys = 2
 
-// ErrKey is returned for a setting that is no deployment key.
-var ErrKey = errs.New("key: want one or two keys of 64 hexadecimal digits, separated by a comma")
+// ErrInvalidKey is returned for a setting that is not a valid ring.
+var ErrInvalidKey = errs.New("key: want one or two keys of 64 hexadecimal digits, separated by a comma")
 
 // Key is one deployment key.
 type Key struct {
-	// ID tells keys apart on the wire. It gives nothing of the key away.
+	// ID identifies the key on the wire. It reveals nothing about the secret.
 	ID     byte
 	secret []byte
 }
 
-// Ring is the set of keys that a process accepts; the first one signs.
+// Ring is the list of keys that a process accepts; the first one signs.
 type Ring []Key
 
-// Parse reads a ring from its setting.
+// Parse parses the setting of a ring.
 func Parse(s string) (Ring, error) {
 	parts := strings.Split(s, ",")
 	if len(parts) > maxKeys {
-		return nil, ErrKey
+		return nil, ErrInvalidKey
 	}
 	var ring Ring
 	for _, part := range parts {
 		secret, err := hex.DecodeString(strings.TrimSpace(part))
 		if err != nil || len(secret) != Size {
-			return nil, ErrKey
+			return nil, ErrInvalidKey
 		}
 		ring = append(ring, newKey(secret))
 	}
 	return ring, nil
 }
 
-// Generate returns a new random key in the form that Parse reads.
+// Generate returns a new random key in the format that Parse accepts.
 func Generate() string {
 	secret := make([]byte, Size)
 	_, _ = rand.Read(secret)
@@ -73,11 +73,12 @@
 	return k
 }
 
-// Derive returns size bytes for one purpose, independent of other purposes.
+// Derive derives size bytes for one purpose, independent of those of other purposes.
 func (k Key) Derive(purpose string, size int) []byte {
 	out, err := hkdf.Key(sha256.New, k.secret, nil, "wagtailtray "+purpose, size)
 	if err != nil {
-		// Only a size beyond 255 hashes fails, and sizes are constants.
+		// hkdf.Key only fails for a size of more than 255 hashes; sizes are
+		// small constants.
 		panic(err)
 	}
 	return out
--- a/pkg/platform/client.go
+++ b/pkg/platform/client.go
@@ -16,47 +16,47 @@
 )
 
 const (
-	root = "/apis/wagtailtray/v1/"
-	// callTimeout bounds one call. The service answers in milliseconds; a
-	// slow one must not hold a planned stop up for long.
+	apiPath = "/apis/wagtailtray/v1/"
+	// callTimeout bounds one call. The service responds in milliseconds; a
+	// slow one must not delay a planned stop for long.
 	callTimeout = 3 * time.Second
-	// maxValue bounds what is read of one answer.
-	maxValue = 64 << 20
-	// idleConns is how many connections are kept: a process makes few calls.
-	idleConns = 2
+	// maxResponseSize bounds how much of a response is read, in bytes.
+	maxResponseSize = 64 << 20
+	// maxIdleConns is how many idle connections are kept: a process makes few calls.
+	maxIdleConns = 2
 )
 
 // Client is a Store over HTTP.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
-// NewClient returns a client of the service at an IP address and port.
+// NewClient returns a client for the service at an IP address and port.
 func NewClient(address string) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: callTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     time.Minute,
 	}
-	return &Client{base: "http://" + address + root, client: &http.Client{Transport: transport}}
+	return &Client{baseURL: "http://" + address + apiPath, client: &http.Client{Transport: transport}}
 }
 
-// Get reads one object.
+// Get returns an object.
 func (c *Client) Get(ctx context.Context, kind Kind, name string) (Object, error) {
 	var o Object
 	err := c.read(ctx, string(kind)+"/"+name, &o)
 	return o, err
 }
 
-// List reads all objects of a kind.
+// List returns all objects of a kind.
 func (c *Client) List(ctx context.Context, kind Kind) (List, error) {
 	var l List
 	err := c.read(ctx, string(kind), &l)
 	return l, err
 }
 
-// Create writes a new object.
+// Create creates an object.
 func (c *Client) Create(ctx context.Context, kind Kind, name string, spec any) (Object, error) {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -66,12 +66,12 @@
 	return c.write(ctx, http.MethodPost, string(kind), o)
 }
 
-// Update replaces the version of an object that o names.
+// Update replaces an object if its resource version is still that of o.
 func (c *Client) Update(ctx context.Context, kind Kind, o Object) (Object, error) {
 	return c.write(ctx, http.MethodPut, string(kind)+"/"+o.Metadata.Name, o)
 }
 
-// Delete removes the version of an object that o names.
+// Delete deletes an object if its resource version is still that of o.
 func (c *Client) Delete(ctx context.Context, kind Kind, o Object) error {
 	path := fmt.Sprintf("%s/%s?resourceVersion=%d", kind, o.Metadata.Name, o.Metadata.ResourceVersion)
 	_, err := c.write(ctx, http.MethodDelete, path, o)
@@ -86,10 +86,10 @@
 		return errs.Combine(ErrUnavailable, err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	if err := failure(res, ErrUnavailable); err != nil {
+	if err := statusError(res, ErrUnavailable); err != nil {
 		return err
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxValue)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxResponseSize)).Decode(into); err != nil {
 		return errs.Combine(ErrUnavailable, err)
 	}
 	return nil
@@ -104,22 +104,22 @@
 	}
 	res, err := c.send(ctx, method, path, data)
 	if err != nil {
-		return Object{}, errs.Combine(lost(err), err)
+		return Object{}, errs.Combine(writeError(err), err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	if err := failure(res, ErrUnknown); err != nil {
+	if err := statusError(res, ErrUnknown); err != nil {
 		return Object{}, err
 	}
 	var out Object
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxValue)).Decode(&out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxResponseSize)).Decode(&out); err != nil {
 		return Object{}, errs.Combine(ErrUnknown, err)
 	}
 	return out, nil
 }
 
-// lost tells a write that surely did not run from one that may have: only a
-// connection that was never made is certain.
-func lost(err error) error {
+// writeError returns ErrUnavailable if a write cannot have taken effect, which is
+// certain only if no connection was established, and ErrUnknown otherwise.
+func writeError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" || errors.Is(err, syscall.ECONNREFUSED) {
 		return ErrUnavailable
@@ -128,7 +128,7 @@
 }
 
 func (c *Client) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -136,9 +136,9 @@
 	return c.client.Do(req)
 }
 
-// failure maps a status to an error. An unavailable service has written
-// nothing; any other failure of the server leaves that open.
-func failure(res *http.Response, server error) error {
+// statusError maps a response status to an error. An unavailable service has written
+// nothing; after any other server error the write may have taken effect.
+func statusError(res *http.Response, server error) error {
 	switch res.StatusCode {
 	case http.StatusOK, http.StatusCreated:
 		return nil
@@ -160,14 +160,14 @@
 	}
 }
 
-// Watch reads the stream of changes.
+// Watch streams the changes of a kind.
 func (c *Client) Watch(ctx context.Context, kind Kind, after uint64, each func(Event) error) error {
 	res, err := c.send(ctx, http.MethodGet, fmt.Sprintf("%s?watch=1&resourceVersion=%d", kind, after), nil)
 	if err != nil {
 		return errs.Combine(ErrUnavailable, err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	if err := failure(res, ErrUnavailable); err != nil {
+	if err := statusError(res, ErrUnavailable); err != nil {
 		return err
 	}
 	decoder := json.NewDecoder(res.Body)
@@ -185,7 +185,7 @@
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.client.CloseIdleConnections()
 }
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,12 +1,12 @@
-// Package platform speaks to the platform's object service, the only place
-// where the system keeps what must last.
+// Package platform is a client of the platform's object service, the system's only
+// persistent storage.
 //
 // # The model
 //
 // Objects have a kind, a name, a resource version and a JSON value. An update
-// or a deletion names the resource version that it replaces and fails with
-// ErrConflict where another one is there. A watch starts at a list's version
-// and gives each later change; one that starts too far back gives ErrGone,
+// or a deletion specifies the resource version that it replaces and fails with
+// ErrConflict if the object has another one. A watch starts at a list's version
+// and reports each later change; if that version is too old it fails with ErrGone,
 // and the watcher lists again.
 //
 // # Usage
@@ -16,8 +16,8 @@
 //	o.Spec = ...
 //	o, err = c.Update(ctx, platform.Configurations, o)
 //
-// An error that is ErrUnknown leaves open whether the write took effect: its
-// answer was lost. The caller reads back before it tries again.
+// ErrUnknown means that the response to a write was lost, so the write may have
+// taken effect. The caller reads the object back before it retries.
 package platform
 
 import (
@@ -30,7 +30,7 @@
 // Kind is a kind of object.
 type Kind string
 
-// The system's kinds.
+// Kinds of objects that the system uses.
 const (
 	Configurations Kind = "configurations"
 	Services       Kind = "services"
@@ -48,14 +48,14 @@
 	ErrConflict    = errs.New("platform: changed by another writer")
 	ErrGone        = errs.New("platform: version too old to watch from")
 	ErrUnavailable = errs.New("platform: unavailable, nothing was written")
-	ErrUnknown     = errs.New("platform: answer lost, the write may have taken effect")
-	ErrInvalid     = errs.New("platform: request refused")
+	ErrUnknown     = errs.New("platform: response lost, the write may have taken effect")
+	ErrInvalid     = errs.New("platform: request rejected")
 )
 
 // Metadata identifies one version of an object.
 type Metadata struct {
 	Name string `json:"name"`
-	// ResourceVersion grows with each write to the service.
+	// ResourceVersion increases with each write to the service.
 	ResourceVersion uint64 `json:"resourceVersion,string"`
 }
 
@@ -65,13 +65,13 @@
 	Spec     json.RawMessage `json:"spec"`
 }
 
-// List is all objects of a kind at one version.
+// List holds all objects of a kind at one version.
 type List struct {
 	Metadata Metadata `json:"metadata"`
 	Items    []Object `json:"items"`
 }
 
-// EventType tells what happened to an object.
+// EventType is the type of a change to an object.
 type EventType string
 
 // Event types.
@@ -88,14 +88,14 @@
 	Object Object    `json:"object"`
 }
 
-// Store is what the system uses of the platform.
+// Store is the part of the platform's API that the system uses.
 type Store interface {
 	Get(ctx context.Context, kind Kind, name string) (Object, error)
 	List(ctx context.Context, kind Kind) (List, error)
 	Create(ctx context.Context, kind Kind, name string, spec any) (Object, error)
 	Update(ctx context.Context, kind Kind, o Object) (Object, error)
 	Delete(ctx context.Context, kind Kind, o Object) error
-	// Watch calls each for every change after the version until the
-	// context ends or the stream breaks, which is an error.
+	// Watch calls each for every change after the version. It returns an error
+	// when the context ends, the stream breaks or each fails.
 	Watch(ctx context.Context, kind Kind, after uint64, each func(Event) error) error
 }
