--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -31,7 +31,7 @@
 			t.Errorf("%s: the slope is %g, its points give %g", name, s.Slope, again.Slope)
 		}
 	}
-	golden.File(t, "../../docs/CAPACITY.md", capacity.Page(&in))
+	golden.CompareFile(t, "../../docs/CAPACITY.md", capacity.Page(&in))
 }
 
 func TestSlopeNeedsFourSizes(t *testing.T) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden runs the project's tests that are written as txtar archives:
-// one scenario a file, with its input and its expected output.
+// Package golden runs tests that are written as txtar archives. Each archive is one
+// test case with its input and its expected output.
 //
 // # Usage
 //
@@ -9,7 +9,7 @@
 //
 //	go test ./... -update
 //
-// the files are rewritten instead, and the change is reviewed as a diff.
+// the files are rewritten instead, so that the change can be reviewed as a diff.
 package golden
 
 import (
@@ -24,20 +24,20 @@
 
 var update = flag.Bool("update", false, "rewrite the expected output of golden tests")
 
-// want is the name of the expected output in an archive.
-const want = "want"
+// wantFile is the name of the expected output in an archive.
+const wantFile = "want"
 
-// Archive is one scenario.
+// Archive is one test case.
 type Archive struct {
 	Name string
 	// Comment is the text before the first file.
 	Comment string
-	files   *txtar.Archive
+	archive *txtar.Archive
 }
 
 // File returns one file of the archive.
 func (a *Archive) File(name string) string {
-	for _, f := range a.files.Files {
+	for _, f := range a.archive.Files {
 		if f.Name == name {
 			return string(f.Data)
 		}
@@ -45,7 +45,7 @@
 	return ""
 }
 
-// Run runs all archives of a folder.
+// Run runs all archives of a folder as subtests.
 func Run(t *testing.T, folder string, run func(t *testing.T, a *Archive) string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*.txtar"))
@@ -59,48 +59,48 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a := &Archive{Name: name, Comment: string(archive.Comment), files: archive}
-			check(t, path, a, run(t, a))
+			a := &Archive{Name: name, Comment: string(archive.Comment), archive: archive}
+			compare(t, path, a, run(t, a))
 		})
 	}
 }
 
-func check(t *testing.T, path string, a *Archive, got string) {
+func compare(t *testing.T, path string, a *Archive, got string) {
 	t.Helper()
 	if got != "" && !strings.HasSuffix(got, "\n") {
 		got += "\n"
 	}
-	if got == a.File(want) {
+	if got == a.File(wantFile) {
 		return
 	}
 	if !*update {
-		t.Fatalf("got:\n%s\nwant:\n%s", got, a.File(want))
+		t.Fatalf("got:\n%s\nwant:\n%s", got, a.File(wantFile))
 	}
-	a.put(got)
-	if err := os.WriteFile(path, txtar.Format(a.files), 0o644); err != nil {
+	a.setWant(got)
+	if err := os.WriteFile(path, txtar.Format(a.archive), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (a *Archive) put(got string) {
-	for i := range a.files.Files {
-		if a.files.Files[i].Name == want {
-			a.files.Files[i].Data = []byte(got)
+func (a *Archive) setWant(got string) {
+	for i := range a.archive.Files {
+		if a.archive.Files[i].Name == wantFile {
+			a.archive.Files[i].Data = []byte(got)
 			return
 		}
 	}
-	a.files.Files = append(a.files.Files, txtar.File{Name: want, Data: []byte(got)})
+	a.archive.Files = append(a.archive.Files, txtar.File{Name: wantFile, Data: []byte(got)})
 }
 
-// File compares an output with a file outside the archives.
-func File(t *testing.T, path, got string) {
+// CompareFile compares an output with a file outside the archives.
+func CompareFile(t *testing.T, path, got string) {
 	t.Helper()
 	old, err := os.ReadFile(path)
 	if err == nil && string(old) == got {
 		return
 	}
 	if !*update {
-		t.Fatalf("%s is not what the tests give; got:\n%s", path, got)
+		t.Fatalf("%s differs from the output; got:\n%s", path, got)
 	}
 	if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
 		t.Fatal(err)
--- a/internal/standin/model/matrix_test.go
+++ b/internal/standin/model/matrix_test.go
@@ -61,5 +61,5 @@
 	if strings.Contains(page, "NOT MET") {
 		t.Error("a cell is not met")
 	}
-	golden.File(t, "../../../docs/FAULTS.md", page)
+	golden.CompareFile(t, "../../../docs/FAULTS.md", page)
 }
