--- a/internal/version/config/generate.go
+++ b/internal/version/config/generate.go
@@ -77,15 +77,15 @@
 func (g *Generated) deriveTiming(a *answers.Answers) {
 	t := &g.State.Root.Timing
 	delay := clock.FromDuration(time.Duration(max(a.Delays.Domains, a.Delays.Regions)))
-	beats := minHeartbeats
+	heartbeats := minHeartbeats
 	if a.Delays.Loss > 0 {
-		beats = max(beats, int(math.Ceil(math.Log(maxFalseSuspicionRate)/math.Log(a.Delays.Loss))))
+		heartbeats = max(heartbeats, int(math.Ceil(math.Log(maxFalseSuspicionRate)/math.Log(a.Delays.Loss))))
 	}
 	t.HeartbeatInterval = heartbeatInterval
 	g.addReason("timing.heartbeat", t.HeartbeatInterval, "docs/CAPACITY.md: a shorter interval would exceed the control traffic budget at the size planned for two years")
-	t.SuspectTimeout = clock.Millis(beats)*heartbeatInterval + 4*delay
+	t.SuspectTimeout = clock.Millis(heartbeats)*heartbeatInterval + 4*delay
 	g.addReason("timing.suspect", t.SuspectTimeout,
-		"%d heartbeats and two round trips: a packet loss of %g alone causes fewer than one false suspicion in a million", beats, a.Delays.Loss)
+		"%d heartbeats and two round trips: a packet loss of %g alone causes fewer than one false suspicion in a million", heartbeats, a.Delays.Loss)
 	t.LeaseDuration = t.SuspectTimeout
 	g.addReason("timing.lease", t.LeaseDuration, "an agent that receives nothing for as long as others take to suspect it stops serving")
 	t.LingerTime = minLinger + 4*delay
--- a/internal/version/routing/routing.go
+++ b/internal/version/routing/routing.go
@@ -150,13 +150,13 @@
 	for _, s := range l.Shares {
 		total += uint64(s.Weight)
 	}
-	var room [16]byte
-	at := xxh3.Hash(segment.AppendFlow(room[:0], f)) % total
+	var buf [16]byte
+	position := xxh3.Hash(segment.AppendFlow(buf[:0], f)) % total
 	for _, s := range l.Shares {
-		if at < uint64(s.Weight) {
+		if position < uint64(s.Weight) {
 			return s.Service
 		}
-		at -= uint64(s.Weight)
+		position -= uint64(s.Weight)
 	}
 	return l.Shares[0].Service
 }
@@ -174,8 +174,8 @@
 }
 
 // NewHistory returns an empty history.
-func NewHistory(keep time.Duration) *History {
-	return &History{FlowTTL: clock.FromDuration(keep), lastUsed: map[netip.AddrPort]map[string]clock.Millis{}}
+func NewHistory(flowTTL time.Duration) *History {
+	return &History{FlowTTL: clock.FromDuration(flowTTL), lastUsed: map[netip.AddrPort]map[string]clock.Millis{}}
 }
 
 // SetCurrent records that a version takes effect now. The previous version was in
--- a/pkg/answers/answers.go
+++ b/pkg/answers/answers.go
@@ -1,6 +1,6 @@
 // Package answers reads the questionnaire that operators fill in. The answers
-// describe the services, the failure domains and the network; the configuration is
-// generated from them and never written by hand.
+// describe the services, the failure domains and what the users tolerate; the
+// configuration is generated from them and never written by hand.
 //
 // # Usage
 //
