--- a/internal/version/config/generate.go
+++ b/internal/version/config/generate.go
@@ -82,22 +82,22 @@
 		heartbeats = max(heartbeats, int(math.Ceil(math.Log(maxFalseSuspicionRate)/math.Log(a.Delays.Loss))))
 	}
 	t.HeartbeatInterval = heartbeatInterval
-	g.addReason("timing.heartbeat", t.HeartbeatInterval, "docs/CAPACITY.md: a shorter interval would exceed the control traffic budget at the size planned for two years")
+	g.addReason("timing.heartbeat", t.HeartbeatInterval, "docs/CAPACITY.md: more often would be over the budget of control traffic at the size of two years")
 	t.SuspectTimeout = clock.Millis(heartbeats)*heartbeatInterval + 4*delay
 	g.addReason("timing.suspect", t.SuspectTimeout,
-		"%d heartbeats and two round trips: a packet loss of %g alone causes fewer than one false suspicion in a million", heartbeats, a.Delays.Loss)
+		"%d heartbeats and two round trips: loss of %g alone causes fewer than one false suspicion in a million", heartbeats, a.Delays.Loss)
 	t.LeaseDuration = t.SuspectTimeout
-	g.addReason("timing.lease", t.LeaseDuration, "an agent that receives nothing for as long as others take to suspect it stops serving")
+	g.addReason("timing.lease", t.LeaseDuration, "an agent that heard nothing for as long as others take to suspect it stops serving")
 	t.LingerTime = minLinger + 4*delay
-	g.addReason("timing.linger", t.LingerTime, "a leaving balancer serves until the other processes know that it leaves")
+	g.addReason("timing.linger", t.LingerTime, "a leaving balancer serves until its leave has spread")
 	t.Retention = minRetention
 	for i := range a.Services {
 		t.Retention = max(t.Retention, clock.FromDuration(time.Duration(a.Services[i].Idle)))
 	}
-	why := "no flow stays open without a datagram for longer than the longest idle timeout"
+	why := "no flow outlives the longest idle time without a datagram"
 	if a.Weight == answers.Broken {
 		t.Retention *= 2
-		why += "; doubled because broken flows have priority"
+		why += "; doubled, since broken flows count more"
 	}
 	g.addReason("timing.retain", t.Retention, "%s", why)
 }
@@ -114,18 +114,18 @@
 	record.Number = g.serviceNumber(s.Name, base)
 	field := "services." + s.Name + "."
 	record.MaxFlows = int(math.Ceil(float64(s.Connections) * flowHeadroom))
-	g.addReason(field+"flows", record.MaxFlows, "%d connections plus a quarter for flows that have ended but not yet reached the idle timeout", s.Connections)
+	g.addReason(field+"flows", record.MaxFlows, "%d connections and a quarter for flows that ended and are not yet idle", s.Connections)
 	record.DigestInterval = 500
-	why := "agents send their load twice a second"
+	why := "agents tell their load twice a second"
 	if a.Weight == answers.Imbalance {
 		record.DigestInterval = 250
-		why = "agents send their load four times a second because imbalance has priority"
+		why = "agents tell their load four times a second, since imbalance counts more"
 	}
 	g.addReason(field+"digest", record.DigestInterval, "%s", why)
 	record.ResendWindow = handshakeTimeout
 	g.addReason(field+"resend", record.ResendWindow,
-		"a caller may resend its opening datagram until it gives up; for that long after a change, homes search for an earlier owner")
-	g.addReason(field+"drain", record.DrainTimeout, "as stated in the answers")
+		"a caller may send its opening again for as long as it tries to open; for so long after a change homes look for an earlier owner")
+	g.addReason(field+"drain", record.DrainTimeout, "as answered")
 	name := NameOf(record)
 	g.State.Records[name] = record
 	g.State.Root.Services = append(g.State.Root.Services, Entry{Name: s.Name, Number: record.Number, RecordName: name})
