--- a/cmd/wagtailtray/drain.go
+++ b/cmd/wagtailtray/drain.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	return printApproved(c.JSON, p, state.Root.Find)
+	return printApproved(c.JSON, p, state.Root.FindChange)
 }
 
 // printApproved prints the configuration version that the plan created.
--- a/cmd/wagtailtray/main.go
+++ b/cmd/wagtailtray/main.go
@@ -91,7 +91,7 @@
 	}{
 		{answers.ErrAnswers, exitAnswers},
 		{approval.ErrStale, exitStale},
-		{approval.ErrOpen, exitOutcomeUnknown},
+		{approval.ErrOutcomeUnknown, exitOutcomeUnknown},
 		{platform.ErrUnknown, exitOutcomeUnknown},
 		{platform.ErrUnavailable, exitUnavailable},
 		{errViolation, exitViolation},
--- a/internal/connection/owner/bench_test.go
+++ b/internal/connection/owner/bench_test.go
@@ -15,7 +15,7 @@
 
 // newFilledTable returns a table with n flows, and how many bytes of heap it takes.
 func newFilledTable(n int) (*owner.Table, *owner.View, *agent, uint64) {
-	a := &agent{id: target.IDOf("a"), local: owner.LocalState{Accepting: true, Warmth: 1000}}
+	a := &agent{id: target.IDFromName("a"), local: owner.LocalState{Accepting: true, Warmth: 1000}}
 	a.observer = owner.NewObserver(a.id)
 	a.view = a.observer.View(0, target.NewSet(1, candidates([]string{"a"}, nil)), 1, window)
 	before := heapBytes()
--- a/internal/connection/owner/loads.go
+++ b/internal/connection/owner/loads.go
@@ -124,7 +124,7 @@
 	homes := v.homeCount()
 	for i := range v.Set.Targets {
 		c := &v.Set.Targets[i]
-		if !c.Opens() || slices.Contains(skip, c.ID) {
+		if !c.AcceptsFlows() || slices.Contains(skip, c.ID) {
 			continue
 		}
 		rank := tieBreakRank(random, c.ID)
@@ -183,7 +183,7 @@
 func (v *View) homeCount() int {
 	n := 0
 	for i := range v.Set.Targets {
-		if v.Set.Targets[i].Opens() {
+		if v.Set.Targets[i].AcceptsFlows() {
 			n++
 		}
 	}
--- a/internal/connection/owner/observer.go
+++ b/internal/connection/owner/observer.go
@@ -26,7 +26,7 @@
 // sequence counts even if nothing else differs: others may have seen the target as
 // a home for a moment, between two observations of this process.
 func (s *observedTarget) differs(c *target.Candidate) bool {
-	return s.incarnation != c.Incarnation || s.sequence != c.Sequence || s.opens != c.Opens()
+	return s.incarnation != c.Incarnation || s.sequence != c.Sequence || s.opens != c.AcceptsFlows()
 }
 
 // beforeStart is when targets that were there before the observer count as changed.
@@ -50,7 +50,7 @@
 		c := &set.Targets[i]
 		old, ok := o.known[c.ID]
 		if !ok || old.differs(c) {
-			old = observedTarget{incarnation: c.Incarnation, sequence: c.Sequence, opens: c.Opens(), changedAt: now}
+			old = observedTarget{incarnation: c.Incarnation, sequence: c.Sequence, opens: c.AcceptsFlows(), changedAt: now}
 			if first && c.ID != o.self {
 				old.changedAt = beforeStart
 			}
--- a/internal/connection/owner/view.go
+++ b/internal/connection/owner/view.go
@@ -78,7 +78,7 @@
 	}
 	for i := range v.Set.Targets {
 		if v.Set.Targets[i].ID == id {
-			return v.Set.Targets[i].Opens() && now.Sub(v.ChangedAt[i]) > v.ResendWindow
+			return v.Set.Targets[i].AcceptsFlows() && now.Sub(v.ChangedAt[i]) > v.ResendWindow
 		}
 	}
 	return false
--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -151,7 +151,7 @@
 		return
 	}
 	if end == nil || s.Ack != end.seq+1 {
-		w.schedule(0, func() { w.agentReceives(a, mark(packet, s.Echo, true)) })
+		w.schedule(0, func() { w.agentReceives(a, mark(packet, s.Mark, true)) })
 		return
 	}
 	if !end.open {
--- a/internal/connection/stream/bench_test.go
+++ b/internal/connection/stream/bench_test.go
@@ -60,7 +60,7 @@
 func BenchmarkQueuedOpenings(b *testing.B) {
 	s := newLoadedSteerer(b, 204)
 	table := newTestTable(b)
-	table.Services = []routing.Service{{Name: "one", Warming: 1}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: 1}}
 	if err := table.Check(); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/connection/stream/evacuation_test.go
+++ b/internal/connection/stream/evacuation_test.go
@@ -69,7 +69,7 @@
 // caller must learn at once that nothing has run instead of waiting until its deadline.
 func TestRefusedAtOnceWithoutUsableTarget(t *testing.T) {
 	homes := newTestTable(t)
-	homes.Listeners[0].Homes = []string{"south"}
+	homes.Listeners[0].HomeRegions = []string{"south"}
 	for _, c := range []struct {
 		name      string
 		table     *routing.Table
@@ -132,7 +132,7 @@
 // balancer's own failure domain has room.
 func TestHomeRegions(t *testing.T) {
 	table := newTestTable(t)
-	table.Listeners[0].Homes = []string{"south"}
+	table.Listeners[0].HomeRegions = []string{"south"}
 	s := newEvacuatingSteerer(t, table, nil, "a", "b", "c")
 	for i := range 50 {
 		sendOpening(s, testNow, i)
@@ -146,7 +146,7 @@
 // home regions of their listener.
 func TestSearchStaysInHomeRegions(t *testing.T) {
 	table := newTestTable(t)
-	table.Listeners[0].Homes = []string{"south"}
+	table.Listeners[0].HomeRegions = []string{"south"}
 	s := newEvacuatingSteerer(t, table, nil, "a", "c")
 	id := callerFlow(1)
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Acks, Ack: 9, Size: 100})
@@ -293,7 +293,7 @@
 		t.Errorf("%d accepted, %d returned", accepted, returned)
 	}
 	table := newTestTable(t)
-	table.Services = []routing.Service{{Name: "one", Warming: rate}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: rate}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -332,7 +332,7 @@
 // reset.
 func TestRepeatedlyReturnedOpeningIsRefused(t *testing.T) {
 	table := newTestTable(t)
-	table.Services = []routing.Service{{Name: "one", Warming: 4}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: 4}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -372,7 +372,7 @@
 func TestOpeningsQueueForColdTargets(t *testing.T) {
 	const rate = 4
 	table := newTestTable(t)
-	table.Services = []routing.Service{{Name: "one", Warming: rate}}
+	table.Services = []routing.Service{{Name: "one", WarmingRate: rate}}
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -108,11 +108,11 @@
 // after different delays, and outdated snapshots arrive late.
 func (w *simulation) evacuate(domain string) {
 	last := w.snapshots[len(w.snapshots)-1]
-	c := evacuation.Change{Domain: domain, Withdrawn: last.Has(domain)}
-	next := last.After(last.Revision+1, []evacuation.Change{c})
+	c := evacuation.Change{Domain: domain, Removed: last.Has(domain)}
+	next := last.Apply(last.Revision+1, []evacuation.Change{c})
 	w.snapshots = append(w.snapshots, next)
 	delete(w.evacuated, domain)
-	if !c.Withdrawn {
+	if !c.Removed {
 		w.evacuated[domain] = w.now
 	}
 	for _, b := range w.balancers {
--- a/internal/connection/stream/opening.go
+++ b/internal/connection/stream/opening.go
@@ -33,7 +33,7 @@
 		s.flows.Add(id, f)
 	}
 	f.lastSeen, f.ended, f.inherited = now, false, false
-	f.service, f.homeRegions = service, s.table.Homes(id)
+	f.service, f.homeRegions = service, s.table.HomeRegions(id)
 	if f.search == nil {
 		f.answers = nil
 	}
@@ -63,7 +63,7 @@
 		s.out.record(Event{Kind: Unrouted, Flow: id, Reason: "no configuration yet"})
 		return "", routing.ErrNoListener
 	}
-	service, err := s.table.Pick(id)
+	service, err := s.table.PickService(id)
 	if err != nil {
 		s.out.record(Event{Kind: Unrouted, Flow: id, Reason: "no listener", Version: s.version()})
 		s.out.Resets = append(s.out.Resets, Reset{Flow: id})
@@ -83,7 +83,7 @@
 	if s.table == nil {
 		return 0
 	}
-	return s.table.Warming(service)
+	return s.table.WarmingRate(service)
 }
 
 func (s *Steerer) demand(f *flow) PlacementRequest {
--- a/internal/connection/stream/placement.go
+++ b/internal/connection/stream/placement.go
@@ -26,10 +26,10 @@
 func (s *Steerer) UpdateEvacuations(now clock.Millis, later evacuation.Snapshot) bool {
 	known := &s.Targets.evacuated
 	first := !known.Known() && later.Known()
-	d := known.Take(later)
-	s.recordEvacuations(d.Ordered, "evacuated")
-	s.recordEvacuations(d.Withdrawn, "no longer evacuated")
-	changed := first || d.Any()
+	d := known.Update(later)
+	s.recordEvacuations(d.Added, "evacuated")
+	s.recordEvacuations(d.Removed, "no longer evacuated")
+	changed := first || d.HasChanges()
 	if changed {
 		s.retryQueued(now)
 	}
--- a/internal/connection/stream/queue.go
+++ b/internal/connection/stream/queue.go
@@ -97,12 +97,12 @@
 	if s.table == nil || s.evacuationsUnknown() && now.Sub(s.started) <= startupPeriod {
 		return false
 	}
-	service, err := s.table.Pick(id)
+	service, err := s.table.PickService(id)
 	if err != nil {
 		return true
 	}
 	dest := destination{listener: id.Listener, service: service}
-	demand := PlacementRequest{Service: service, HomeRegions: s.table.Homes(id), WarmingRate: s.warmingRate(service)}
+	demand := PlacementRequest{Service: service, HomeRegions: s.table.HomeRegions(id), WarmingRate: s.warmingRate(service)}
 	full[dest] = full[dest] || !s.Targets.hasUsable(now, &demand) && (!s.knowsTargets(now) || s.Targets.blockedReason(now, &demand) == "")
 	return !full[dest]
 }
--- a/internal/connection/stream/report.go
+++ b/internal/connection/stream/report.go
@@ -113,11 +113,11 @@
 // While a failure domain is evacuated its targets get no openings and may become slow
 // again. They count as slow after the order is withdrawn until their next heartbeat.
 func (tr *Tracker) updateEvacuation(now clock.Millis, probe *wire.Report) {
-	if !tr.gate.Take(probe.Orders, probe.Evacuated) {
+	if !tr.gate.Update(probe.Orders, probe.Evacuated) {
 		return
 	}
 	reason := "evacuated"
-	if !tr.gate.Closed {
+	if !tr.gate.Evacuated {
 		reason = "no longer evacuated"
 		tr.upstream.coldUntil = max(tr.upstream.coldUntil, now+tr.settings.Heartbeat+heartbeatSlack)
 	}
--- a/internal/connection/stream/speculation.go
+++ b/internal/connection/stream/speculation.go
@@ -27,7 +27,7 @@
 // its flow: callers' packets must stay in the home regions of their listener.
 func (s *Steerer) maySpeculate(id segment.Flow, to netip.AddrPort) bool {
 	t, ok := s.Targets.Find(to)
-	return ok && (s.table == nil || s.Targets.inHomeRegion(t.Domain, s.table.Homes(id)))
+	return ok && (s.table == nil || s.Targets.inHomeRegion(t.Domain, s.table.HomeRegions(id)))
 }
 
 // resolveByElimination ends a search after all targets but an unsure one have denied the
--- a/internal/connection/stream/tracker.go
+++ b/internal/connection/stream/tracker.go
@@ -81,7 +81,7 @@
 	checkpoints checkpointState
 	// gate is closed while the failure domain is evacuated. window limits openings to
 	// warmingRate a second while the target is slow after its start.
-	gate        evacuation.Gate
+	gate        evacuation.DomainStatus
 	window      admission.Limiter
 	warmingRate int
 	// reportedCondition is the target's condition last reported to balancers.
@@ -174,7 +174,7 @@
 	switch {
 	case !tr.Accepting(now):
 		return wire.Cause_CAUSE_CLOSED
-	case tr.gate.Closed:
+	case tr.gate.Evacuated:
 		return wire.Cause_CAUSE_EVACUATED
 	case warming && tr.window.Remaining(now, rate) == 0:
 		return wire.Cause_CAUSE_WARMING
@@ -319,7 +319,7 @@
 func (tr *Tracker) handleReturn(now clock.Millis, seg *segment.Segment, packet []byte) {
 	tr.upstream.pendingSince = 0
 	id := seg.FromCaller()
-	to := tr.balancerOf(seg.Echo)
+	to := tr.balancerOf(seg.Mark)
 	if seg.Opening() {
 		if f, ok := tr.flows.Peek(id); ok && !f.open {
 			tr.flows.Remove(id)
--- a/internal/process/agent/agent.go
+++ b/internal/process/agent/agent.go
@@ -187,11 +187,11 @@
 		flowLog: deps.Log.Sample(&zerolog.BurstSampler{Burst: maxFlowLogsPerSecond, Period: time.Second}),
 		queued:  make(chan queuedDatagram, maxQueued), leaseRenewed: make(chan struct{}, 1), closing: make(chan struct{}),
 		client: client, refusedCallers: refused,
-		sealer:   envelope.NewSealer(deps.Ring, envelope.Room(settings.MTU, settings.Tunnel.Addr())),
-		observer: owner.NewObserver(target.IDOf(settings.Name)), peerLedgers: map[string]peerLedger{}, fatal: make(chan error, 1), outOfSync: make(chan struct{}, 1),
+		sealer:   envelope.NewSealer(deps.Ring, envelope.MaxSize(settings.MTU, settings.Tunnel.Addr())),
+		observer: owner.NewObserver(target.IDFromName(settings.Name)), peerLedgers: map[string]peerLedger{}, fatal: make(chan error, 1), outOfSync: make(chan struct{}, 1),
 	}
 	a.buffers.New = func() any {
-		b := make([]byte, 0, envelope.MaxDatagram)
+		b := make([]byte, 0, envelope.MaxDatagramSize)
 		return &b
 	}
 	return a, nil
@@ -254,9 +254,9 @@
 // initPacketPath creates the tables and sockets whose sizes depend on the
 // service's configuration.
 func (a *Agent) initPacketPath() error {
-	a.loads = owner.NewPeerLoads(maxMissedDigests * a.service.Digest)
+	a.loads = owner.NewPeerLoads(maxMissedDigests * a.service.DigestInterval)
 	a.table = owner.NewTable(a.limits(), a.loads)
-	a.estimator = owner.NewFlowEstimator(a.service.Idle)
+	a.estimator = owner.NewFlowEstimator(a.service.IdleTimeout)
 	pool, err := upstream.NewPool(a.settings.Local, a.settings.Upstream, a.settings.Workers, a.handleAnswer)
 	if err != nil {
 		return err
@@ -269,8 +269,8 @@
 // limits returns the limits of the flow table for the service's configuration.
 func (a *Agent) limits() owner.Limits {
 	return owner.Limits{
-		MaxFlows: a.service.Flows, MaxPlacements: a.service.Flows * placementsPerFlow,
-		IdleTimeout: a.service.Idle, UnansweredTimeout: a.service.Opening,
+		MaxFlows: a.service.MaxFlows, MaxPlacements: a.service.MaxFlows * placementsPerFlow,
+		IdleTimeout: a.service.IdleTimeout, UnansweredTimeout: a.service.UnansweredTimeout,
 	}
 }
 
--- a/internal/process/agent/agent_test.go
+++ b/internal/process/agent/agent_test.go
@@ -46,13 +46,13 @@
 // reports the successor, and the agent ends.
 func TestWokenHolderIsFenced(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	a := newTestAgent(t, c)
 	a.leaseStart.Store(int64(c.Now()))
-	if a.fenced(c.Add(1500)) {
+	if a.fenced(c.Advance(1500)) {
 		t.Error("fenced within the lease")
 	}
-	if !a.fenced(c.Add(1)) {
+	if !a.fenced(c.Advance(1)) {
 		t.Error("not fenced after the lease")
 	}
 	err := a.applyReply(&wire.Announced{Incarnation: 5}, false)
@@ -109,7 +109,7 @@
 // predecessor. A requested drain takes precedence over both.
 func TestJoining(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	a := newTestAgent(t, c)
 	a.version = 1
 	a.tookOver.Store(false)
@@ -120,11 +120,11 @@
 	if a.self.State != member.Joining || a.accepting.Load() || a.Ready() == "" {
 		t.Errorf("state %s, accepting %t", a.self.State, a.accepting.Load())
 	}
-	c.Add(owner.MaxPropagationDelay)
+	c.Advance(owner.MaxPropagationDelay)
 	if a.refreshState() {
 		t.Error("state changed within the propagation delay")
 	}
-	c.Add(1)
+	c.Advance(1)
 	if !a.refreshState() || a.self.State != member.Alive || !a.accepting.Load() {
 		t.Errorf("state %s after the propagation delay, accepting %t", a.self.State, a.accepting.Load())
 	}
@@ -150,24 +150,24 @@
 func TestDrainLimit(t *testing.T) {
 	c := &clock.Manual{}
 	a := newTestAgent(t, c)
-	a.service = config.Service{Drain: clock.Hour, Flows: 10}
+	a.service = config.Service{DrainTimeout: clock.Hour, MaxFlows: 10}
 	a.version = 1
 	a.table = owner.NewTable(a.limits(), owner.NewPeerLoads(1))
 	a.drainRequested = true
 	a.updateState()
-	if a.drainExpired(c.Add(clock.Hour)) {
+	if a.drainExpired(c.Advance(clock.Hour)) {
 		t.Error("expired at the limit")
 	}
-	if !a.drainExpired(c.Add(1)) {
+	if !a.drainExpired(c.Advance(1)) {
 		t.Error("not expired after the limit")
 	}
-	a.service.Drain = 2 * clock.Hour
+	a.service.DrainTimeout = 2 * clock.Hour
 	if a.drainExpired(c.Now()) {
 		t.Error("expired although the limit was raised")
 	}
 	a.drainRequested = false
 	a.updateState()
-	if a.drainExpired(c.Add(clock.Hour * 9)) {
+	if a.drainExpired(c.Advance(clock.Hour * 9)) {
 		t.Error("expired although the target is not draining")
 	}
 }
--- a/internal/process/agent/announce.go
+++ b/internal/process/agent/announce.go
@@ -41,7 +41,7 @@
 			a.mu.Unlock()
 			return a.acquireIncarnation(ctx, known)
 		}
-		if !sleep(ctx, clock.Of(retry.NextBackOff())) {
+		if !sleep(ctx, clock.FromDuration(retry.NextBackOff())) {
 			return context.Cause(ctx)
 		}
 	}
--- a/internal/process/agent/heartbeat.go
+++ b/internal/process/agent/heartbeat.go
@@ -71,7 +71,7 @@
 func (a *Agent) runHeartbeats(ctx context.Context) {
 	for {
 		a.mu.Lock()
-		every := a.timing.Heartbeat
+		every := a.timing.HeartbeatInterval
 		a.mu.Unlock()
 		if every <= 0 {
 			every = initialHeartbeat
@@ -112,7 +112,7 @@
 		Version: a.version, Flows: uint32(local.Flows), Busy: local.Busy, Slots: local.Slots,
 	}
 	e := &wire.Envelope{
-		Kind: wire.Kind_KIND_BEAT, Service: a.service.Number, Target: target.IDOf(a.settings.Name),
+		Kind: wire.Kind_KIND_BEAT, Service: a.service.Number, Target: target.IDFromName(a.settings.Name),
 		Incarnation: a.self.Incarnation, Beat: b,
 	}
 	a.mu.Unlock()
--- a/internal/process/agent/load.go
+++ b/internal/process/agent/load.go
@@ -210,7 +210,7 @@
 func (a *Agent) drainExpired(now clock.Millis) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.self.State != member.Draining || a.service.Drain == 0 || now.Sub(a.drainingSince) <= a.service.Drain {
+	if a.self.State != member.Draining || a.service.DrainTimeout == 0 || now.Sub(a.drainingSince) <= a.service.DrainTimeout {
 		return false
 	}
 	if n := a.table.Len(); n > 0 {
--- a/internal/process/agent/peerledger.go
+++ b/internal/process/agent/peerledger.go
@@ -48,7 +48,7 @@
 // that its flows have either timed out or are served by a successor that took the ledger
 // from another peer: several peers may store the same ledger.
 func (a *Agent) ledgerExpired(l *peerLedger) bool {
-	return a.service.Idle > 0 && a.deps.Clock.Now().Sub(l.receivedAt) > a.service.Idle
+	return a.service.IdleTimeout > 0 && a.deps.Clock.Now().Sub(l.receivedAt) > a.service.IdleTimeout
 }
 
 // handleTake returns a target's ledger to its successor.
--- a/internal/process/agent/queue.go
+++ b/internal/process/agent/queue.go
@@ -28,7 +28,7 @@
 // opens a flow is dropped: it may be as old as the pause of the process, and its home may
 // have placed the flow elsewhere since.
 func (a *Agent) enqueue(w *worker, now clock.Millis, from netip.AddrPort) {
-	caller := envelope.Caller(w.envelope.Caller)
+	caller := envelope.ParseCaller(w.envelope.Caller)
 	if !a.table.Owns(caller) {
 		a.count.fenced.Inc(1)
 		return
--- a/internal/process/agent/queue_test.go
+++ b/internal/process/agent/queue_test.go
@@ -27,11 +27,11 @@
 func newPausedAgent(t *testing.T) *pausedAgent {
 	t.Helper()
 	p := &pausedAgent{t: t, clock: &clock.Manual{}, scope: tally.NewTestScope("", nil)}
-	p.clock.Add(clock.Hour)
+	p.clock.Advance(clock.Hour)
 	a := newTestAgent(t, p.clock)
 	p.Agent, p.worker = a, a.newWorker()
 	a.count = newCounters(p.scope)
-	a.service.Number, a.service.Flows, a.service.Idle, a.service.Opening = 1, 10, clock.Minute, clock.Minute
+	a.service.Number, a.service.MaxFlows, a.service.IdleTimeout, a.service.UnansweredTimeout = 1, 10, clock.Minute, clock.Minute
 	a.table = owner.NewTable(a.limits(), owner.NewPeerLoads(clock.Second))
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -48,7 +48,7 @@
 	a.rebuildViewLocked()
 	a.leaseStart.Store(int64(p.clock.Now()))
 	p.receiveForward("203.0.113.9:4433", wire.Stage_STAGE_OPEN)
-	p.clock.Add(a.lease() + 1)
+	p.clock.Advance(a.lease() + 1)
 	return p
 }
 
@@ -56,7 +56,7 @@
 func (p *pausedAgent) receiveForward(caller string, stage wire.Stage) {
 	p.t.Helper()
 	out, err := p.sealer.Seal(nil, &wire.Envelope{
-		Kind: wire.Kind_KIND_FORWARD, Stage: stage, Service: 1, Target: target.IDOf("t1"), Incarnation: 4,
+		Kind: wire.Kind_KIND_FORWARD, Stage: stage, Service: 1, Target: target.IDFromName("t1"), Incarnation: 4,
 		Caller: envelope.AppendCaller(nil, netip.MustParseAddrPort(caller)), Budget: 9, Payload: []byte{0xc0},
 	})
 	if err != nil {
@@ -69,7 +69,7 @@
 // resume renews the lease after a delay and returns how many datagrams were delivered to
 // the upstream.
 func (p *pausedAgent) resume(after clock.Millis) int64 {
-	p.renewLease(p.clock.Add(after))
+	p.renewLease(p.clock.Advance(after))
 	p.processQueue(p.worker)
 	return p.scope.Snapshot().Counters()["delivered+"].Value()
 }
--- a/internal/process/agent/takeover.go
+++ b/internal/process/agent/takeover.go
@@ -93,7 +93,7 @@
 		if a.isFromPredecessor(newest) || len(remaining) == 0 {
 			break
 		}
-		sleep(ctx, clock.Of(delay.NextBackOff()))
+		sleep(ctx, clock.FromDuration(delay.NextBackOff()))
 	}
 	return newest
 }
--- a/internal/process/agent/takeover_test.go
+++ b/internal/process/agent/takeover_test.go
@@ -173,11 +173,11 @@
 func TestExpiredLedgerIsNotReturned(t *testing.T) {
 	c := &clock.Manual{}
 	a := newTestAgent(t, c)
-	a.service.Idle = clock.Minute
+	a.service.IdleTimeout = clock.Minute
 	if err := a.handleKeep(&wire.Keep{Target: "web.t2", Ledger: []byte("flows")}); err != nil {
 		t.Fatal(err)
 	}
-	c.Add(clock.Minute + 1)
+	c.Advance(clock.Minute + 1)
 	if got := a.handleTake(&wire.Take{Target: "web.t2", Incarnation: 6}); len(got.Ledger) > 0 {
 		t.Errorf("got %q", got.Ledger)
 	}
--- a/internal/process/agent/tunnel.go
+++ b/internal/process/agent/tunnel.go
@@ -17,7 +17,7 @@
 
 // worker holds the buffers for one envelope at a time and is reused.
 type worker struct {
-	in       [envelope.MaxDatagram]byte
+	in       [envelope.MaxDatagramSize]byte
 	size     int
 	out      []byte
 	via      []byte
@@ -30,7 +30,7 @@
 	if err != nil {
 		return errs.Wrap(err)
 	}
-	_ = conn.SetReadBuffer(envelope.SocketBuffer)
+	_ = conn.SetReadBuffer(envelope.SocketBufferSize)
 	a.tunnel = conn
 	return nil
 }
@@ -51,7 +51,7 @@
 }
 
 func (a *Agent) newWorker() *worker {
-	return &worker{out: make([]byte, 0, envelope.MaxDatagram), opener: envelope.NewOpener(a.deps.Ring)}
+	return &worker{out: make([]byte, 0, envelope.MaxDatagramSize), opener: envelope.NewOpener(a.deps.Ring)}
 }
 
 // handleDatagram opens and handles the envelope in the worker's buffer.
@@ -107,7 +107,7 @@
 	e := &w.envelope
 	via := from
 	if len(e.Via) > 0 {
-		via = envelope.Caller(e.Via)
+		via = envelope.ParseCaller(e.Via)
 	}
 	view := a.view.Load()
 	arrival := owner.Arrival{Now: now, Envelope: e, Via: via, Random: rand.Float64()}
@@ -120,11 +120,11 @@
 	d := a.table.Take(arrival, view, local, a.pool)
 	if len(e.Trace) > 0 {
 		e.Trace = a.deps.Tracer.Hop(e.Trace, "agent."+d.Action.String(), trace.Hop{
-			Service: e.Service, Target: view.Self, Caller: envelope.Caller(e.Caller).String(), Outcome: string(d.Reason),
+			Service: e.Service, Target: view.Self, Caller: envelope.ParseCaller(e.Caller).String(), Outcome: string(d.Reason),
 		})
 	}
 	if d.ExpiredIdle > 0 {
-		a.logOutlived(envelope.Caller(e.Caller), d.ExpiredIdle)
+		a.logOutlived(envelope.ParseCaller(e.Caller), d.ExpiredIdle)
 	}
 	a.execute(w, d, via)
 }
@@ -142,10 +142,10 @@
 		return
 	}
 	if e.Kind == wire.Kind_KIND_ENDED {
-		a.table.HandleEnded(envelope.Caller(e.Caller), e.Home)
+		a.table.HandleEnded(envelope.ParseCaller(e.Caller), e.Home)
 		return
 	}
-	a.table.HandleFound(now, envelope.Caller(e.Caller), e.Home)
+	a.table.HandleFound(now, envelope.ParseCaller(e.Caller), e.Home)
 }
 
 // addressed reports whether an envelope is for this target and incarnation,
@@ -230,7 +230,7 @@
 }
 
 func (a *Agent) refuse(w *worker, via netip.AddrPort) {
-	caller := envelope.Caller(w.envelope.Caller)
+	caller := envelope.ParseCaller(w.envelope.Caller)
 	a.refusedCallers.Add(caller, via)
 	if !a.refuser.Refuse(caller, w.envelope.Payload) {
 		a.count.dropped[owner.NoTarget].Inc(1)
--- a/internal/process/agent/view.go
+++ b/internal/process/agent/view.go
@@ -49,13 +49,13 @@
 		return
 	}
 	a.service, a.timing, a.version = service, timing, r.Version
-	a.leaseMillis.Store(int64(timing.Lease))
-	a.digestMillis.Store(int64(service.Digest))
-	a.rampMillis.Store(int64(service.Ramp))
+	a.leaseMillis.Store(int64(timing.LeaseDuration))
+	a.digestMillis.Store(int64(service.DigestInterval))
+	a.rampMillis.Store(int64(service.RampTime))
 	a.slots.Store(uint32(service.Slots))
 	if a.table != nil {
 		a.table.SetLimits(a.limits())
-		a.loads.SetMaxAge(maxMissedDigests * service.Digest)
+		a.loads.SetMaxAge(maxMissedDigests * service.DigestInterval)
 	}
 }
 
@@ -148,7 +148,7 @@
 		candidates = append(candidates, a.candidate(&a.peers[i]))
 	}
 	set := target.NewSet(a.service.Number, candidates)
-	v := a.observer.View(now, set, a.self.Incarnation, a.service.Resend)
+	v := a.observer.View(now, set, a.self.Incarnation, a.service.ResendWindow)
 	if a.loads != nil {
 		a.loads.Retain(set)
 	}
@@ -157,7 +157,7 @@
 
 func (a *Agent) candidate(m *member.Member) target.Candidate {
 	return target.Candidate{
-		ID: target.IDOf(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
+		ID: target.IDFromName(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
 		Draining: m.State != member.Alive, Suspected: m.Suspected,
 	}
 }
--- a/internal/process/balancer/balancer.go
+++ b/internal/process/balancer/balancer.go
@@ -114,7 +114,7 @@
 	publishedEdges atomic.Pointer[map[uint32]*edge]
 
 	mu         sync.Mutex
-	book       *spread.Book
+	book       *spread.Replica
 	table      *member.Table
 	self       member.Member
 	tracked    map[member.Key]*trackedTarget
@@ -148,8 +148,8 @@
 	b := &Balancer{
 		settings: settings, deps: deps, count: newCounters(deps.Scope),
 		hints:  target.NewHints(settings.Limits),
-		sealer: envelope.NewSealer(deps.Ring, envelope.Room(settings.MTU, settings.Tunnel)-envelope.WalkRoom),
-		book:   spread.NewBook(), table: member.NewTable(),
+		sealer: envelope.NewSealer(deps.Ring, envelope.MaxSize(settings.MTU, settings.Tunnel)-envelope.WalkReserve),
+		book:   spread.NewReplica(), table: member.NewTable(),
 		tracked: map[member.Key]*trackedTarget{}, targetKeys: map[heartbeatKey]member.Key{}, serviceChanges: map[string]uint64{}, edges: map[uint32]*edge{},
 		client: client, updates: make(chan update, maxQueuedUpdates), heartbeats: make(chan queuedHeartbeat, maxQueuedHeartbeats),
 	}
@@ -237,7 +237,7 @@
 func (b *Balancer) Stop(ctx context.Context) {
 	b.setLeaving()
 	b.mu.Lock()
-	linger := b.book.State().Root.Timing.Linger
+	linger := b.book.State().Root.Timing.LingerTime
 	b.mu.Unlock()
 	b.sendLeaves(ctx, linger)
 	b.removeRosterEntry(ctx)
--- a/internal/process/balancer/balancer_test.go
+++ b/internal/process/balancer/balancer_test.go
@@ -32,7 +32,7 @@
 	}
 	b, err := New(Settings{
 		Name: "b1", Domain: "a", Control: anyPort, Tunnel: local, Ports: 2, Workers: 2, MTU: 1500,
-		Limits: target.Limits{Hints: 1 << 16, Pending: 1 << 10, Walks: 1 << 20},
+		Limits: target.Limits{MaxHints: 1 << 16, MaxPending: 1 << 10, WalksPerSecond: 1 << 20},
 	}, Deps{Ring: ring, Clock: c, Log: zerolog.Nop(), Scope: tally.NoopScope})
 	if err != nil {
 		t.Fatal(err)
@@ -44,12 +44,12 @@
 // configure puts a version with one service into force, whose only target has the
 // given tunnel address.
 func configure(t testing.TB, b *Balancer, address, tunnel netip.AddrPort) {
-	record := &config.Service{Name: "web", Number: 1, Address: address, Upstreams: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, Flows: 100}
+	record := &config.Service{Name: "web", Number: 1, Address: address, Upstreams: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}, MaxFlows: 100}
 	name := config.NameOf(record)
 	state := &config.State{Records: map[string]*config.Service{name: record}}
 	state.Root.Version = 1
-	state.Root.Timing = config.Timing{Heartbeat: 500, Suspect: 1500, Retain: clock.Minute}
-	state.Root.Services = []config.Entry{{Name: "web", Number: 1, Record: name}}
+	state.Root.Timing = config.Timing{HeartbeatInterval: 500, SuspectTimeout: 1500, Retention: clock.Minute}
+	state.Root.Services = []config.Entry{{Name: "web", Number: 1, RecordName: name}}
 	b.mergeMembers([]*wire.Member{webTarget(tunnel).Wire()})
 	b.applyState(state)
 	if b.Version() != 1 {
@@ -69,7 +69,7 @@
 // runs is overdue.
 func TestOwnPauseSuspectsNobody(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	b := newTestBalancer(t, c)
 	configure(t, b, anyPort, anyPort)
 	timing := b.timing()
@@ -78,12 +78,12 @@
 		t.Fatal(err)
 	}
 	b.overdueTargets(c.Now(), timing)
-	if overdue := b.overdueTargets(c.Add(clock.Minute), timing); len(overdue) != 0 {
+	if overdue := b.overdueTargets(c.Advance(clock.Minute), timing); len(overdue) != 0 {
 		t.Errorf("%d targets are overdue after the balancer's own pause", len(overdue))
 	}
 	overdue := 0
 	for range 10 {
-		overdue += len(b.overdueTargets(c.Add(timing.Heartbeat), timing))
+		overdue += len(b.overdueTargets(c.Advance(timing.HeartbeatInterval), timing))
 	}
 	if overdue != 1 {
 		t.Errorf("overdue %d times, want once until it is probed", overdue)
@@ -95,11 +95,11 @@
 // others. Those must not take it for overdue in between and probe it.
 func TestSuspectTimeoutAtOtherContacts(t *testing.T) {
 	c := &clock.Manual{}
-	c.Add(clock.Hour)
+	c.Advance(clock.Hour)
 	b := newTestBalancer(t, c)
 	configure(t, b, anyPort, anyPort)
 	timing := b.timing()
-	h := queuedHeartbeat{service: 1, target: target.IDOf("t1"), incarnation: 1, heartbeat: &wire.Beat{Number: 7}}
+	h := queuedHeartbeat{service: 1, target: target.IDFromName("t1"), incarnation: 1, heartbeat: &wire.Beat{Number: 7}}
 	b.handleHeartbeat(h)
 	b.overdueTargets(c.Now(), timing)
 	for number := uint32(8); number <= 7*20; number++ {
@@ -107,7 +107,7 @@
 			h.heartbeat.Number = number
 			b.handleHeartbeat(h)
 		}
-		if overdue := b.overdueTargets(c.Add(timing.Heartbeat), timing); len(overdue) > 0 && number > 2*maxGap {
+		if overdue := b.overdueTargets(c.Advance(timing.HeartbeatInterval), timing); len(overdue) > 0 && number > 2*maxGap {
 			t.Fatalf("overdue at heartbeat %d", number)
 		}
 		b.tracked[webTarget(anyPort).Key].probing = false
@@ -138,10 +138,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetReadBuffer(envelope.SocketBuffer)
+	_ = conn.SetReadBuffer(envelope.SocketBufferSize)
 	var count atomic.Uint64
 	go func() {
-		buffer := make([]byte, envelope.MaxDatagram)
+		buffer := make([]byte, envelope.MaxDatagramSize)
 		for {
 			if _, _, err := conn.ReadFromUDPAddrPort(buffer); err != nil {
 				return
@@ -197,10 +197,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = in.Close(), out.Close() })
-	_ = in.SetReadBuffer(envelope.SocketBuffer)
+	_ = in.SetReadBuffer(envelope.SocketBufferSize)
 	for range 2 {
 		go func() {
-			buffer := make([]byte, envelope.MaxDatagram)
+			buffer := make([]byte, envelope.MaxDatagramSize)
 			for {
 				n, _, err := in.ReadFromUDPAddrPort(buffer)
 				if err != nil {
--- a/internal/process/balancer/contact.go
+++ b/internal/process/balancer/contact.go
@@ -63,7 +63,7 @@
 		Drain: state.Draining(m.Service, m.Name),
 	}
 	service, ok := state.Service(m.Service)
-	reply.Barred = !ok || !service.Admits(m.Upstream.Addr())
+	reply.Barred = !ok || !service.AllowsUpstream(m.Upstream.Addr())
 	if ok && r.Version < state.Root.Version {
 		reply.Record, _ = json.Marshal(service)
 		reply.Timing, _ = json.Marshal(state.Root.Timing)
@@ -140,7 +140,7 @@
 func (b *Balancer) overdueTargets(now clock.Millis, timing config.Timing) []member.Member {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	paused := b.lastTick != 0 && now.Sub(b.lastTick) > 2*timing.Heartbeat
+	paused := b.lastTick != 0 && now.Sub(b.lastTick) > 2*timing.HeartbeatInterval
 	b.lastTick = now
 	var overdue []member.Member
 	for k, c := range b.tracked {
@@ -177,9 +177,9 @@
 // others, so the timeout is longer there.
 func (c *trackedTarget) suspectTimeout(timing config.Timing) clock.Millis {
 	if c.gap <= 1 {
-		return timing.Suspect
+		return timing.SuspectTimeout
 	}
-	return timing.Suspect + clock.Millis(c.gap-1)*timing.Heartbeat
+	return timing.SuspectTimeout + clock.Millis(c.gap-1)*timing.HeartbeatInterval
 }
 
 // probe calls an overdue target before it is suspected: it may send its
--- a/internal/process/balancer/edge.go
+++ b/internal/process/balancer/edge.go
@@ -30,14 +30,14 @@
 
 // workerBuffers holds the buffers for one datagram and is reused for the next one.
 type workerBuffers struct {
-	in       [envelope.MaxDatagram]byte
+	in       [envelope.MaxDatagramSize]byte
 	out      []byte
 	caller   []byte
 	envelope wire.Envelope
 }
 
 func newWorkerBuffers() *workerBuffers {
-	return &workerBuffers{out: make([]byte, 0, envelope.MaxDatagram), caller: make([]byte, 0, 18)}
+	return &workerBuffers{out: make([]byte, 0, envelope.MaxDatagramSize), caller: make([]byte, 0, 18)}
 }
 
 // bindEdges opens and closes edges to match a configuration. It is called with mu
@@ -48,7 +48,7 @@
 	}
 	wanted := map[uint32]netip.AddrPort{}
 	for _, entry := range state.Root.Services {
-		address := state.Records[entry.Record].Address
+		address := state.Records[entry.RecordName].Address
 		if b.settings.Edge.IsValid() {
 			address = netip.AddrPortFrom(b.settings.Edge, address.Port())
 		}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	_ = conn.SetReadBuffer(envelope.SocketBuffer)
+	_ = conn.SetReadBuffer(envelope.SocketBufferSize)
 	return conn, nil
 }
 
@@ -136,7 +136,7 @@
 		return
 	}
 	w.caller = envelope.AppendCaller(w.caller[:0], from)
-	opening := quic.Opening(datagram)
+	opening := quic.MayOpenFlow(datagram)
 	route, ok := b.hints.Route(b.deps.Clock.Now(), set, from, w.caller, opening)
 	if !ok {
 		b.count.untargeted.Inc(1)
@@ -156,8 +156,8 @@
 // which questions remain unanswered.
 func (b *Balancer) updatePath(r *target.Route) {
 	now := b.deps.Clock.Now()
-	changed := r.Silent != 0 && b.paths.Change(now, r.Silent)
-	if r.Ask && b.paths.Asked(now, r.Target.ID) || changed {
+	changed := r.SilentTarget != 0 && b.paths.ChangePort(now, r.SilentTarget)
+	if r.Ask && b.paths.RecordAsk(now, r.Target.ID) || changed {
 		b.count.rotated.Inc(1)
 	}
 }
--- a/internal/process/balancer/relay.go
+++ b/internal/process/balancer/relay.go
@@ -63,7 +63,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-after(clock.Of(retry.NextBackOff())):
+		case <-after(clock.FromDuration(retry.NextBackOff())):
 		}
 	}
 }
--- a/internal/process/balancer/sync.go
+++ b/internal/process/balancer/sync.go
@@ -49,7 +49,7 @@
 	b.mu.Lock()
 	var deltas []*config.Delta
 	if reply.Version < b.book.Version() {
-		deltas, _ = b.book.Since(reply.Version)
+		deltas, _ = b.book.DeltasSince(reply.Version)
 	}
 	b.mu.Unlock()
 	for _, d := range deltas {
@@ -114,7 +114,7 @@
 }
 
 func (b *Balancer) addConfiguration(reply *wire.Synced, from uint64) {
-	if deltas, ok := b.book.Since(from); ok {
+	if deltas, ok := b.book.DeltasSince(from); ok {
 		reply.Deltas, _ = json.Marshal(deltas)
 		return
 	}
@@ -125,7 +125,7 @@
 // version before it is missing.
 func (b *Balancer) applyDelta(d *config.Delta) (behind bool) {
 	b.mu.Lock()
-	applied, behind := b.book.Offer(d)
+	applied, behind := b.book.ApplyDelta(d)
 	if applied {
 		b.activateVersion()
 	}
--- a/internal/process/balancer/tick.go
+++ b/internal/process/balancer/tick.go
@@ -30,7 +30,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-after(timing.Heartbeat):
+		case <-after(timing.HeartbeatInterval):
 		}
 		now := b.deps.Clock.Now()
 		for _, m := range b.overdueTargets(now, timing) {
@@ -53,8 +53,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.book.State().Root.Timing
-	if t.Heartbeat <= 0 {
-		return config.Timing{Heartbeat: initialHeartbeat, Suspect: 4 * clock.Second, Retain: initialRetention}
+	if t.HeartbeatInterval <= 0 {
+		return config.Timing{HeartbeatInterval: initialHeartbeat, SuspectTimeout: 4 * clock.Second, Retention: initialRetention}
 	}
 	return t
 }
@@ -63,7 +63,7 @@
 	b.trackUnheardTargets(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	expired := b.table.Expire(now, timing.Retain)
+	expired := b.table.Expire(now, timing.Retention)
 	for _, m := range expired {
 		b.deps.Log.Info().Str("event", "forgotten").Str("service", m.Service).Str("name", m.Name).Msg("member removed after its retention")
 	}
--- a/internal/process/balancer/view.go
+++ b/internal/process/balancer/view.go
@@ -58,7 +58,7 @@
 func (b *Balancer) buildTargetSet(state *config.State, e config.Entry) *target.Set {
 	var all []target.Candidate
 	for _, m := range b.table.Targets(e.Name) {
-		b.targetKeys[heartbeatKey{service: e.Number, target: target.IDOf(m.Name)}] = m.Key
+		b.targetKeys[heartbeatKey{service: e.Number, target: target.IDFromName(m.Name)}] = m.Key
 		if c, ok := candidate(state, &m.Member); ok {
 			all = append(all, c)
 		}
@@ -74,11 +74,11 @@
 // left or that the operators do not admit to the service.
 func candidate(state *config.State, m *member.Member) (target.Candidate, bool) {
 	service, ok := state.Service(m.Service)
-	if !ok || !service.Admits(m.Upstream.Addr()) || m.State == member.Left {
+	if !ok || !service.AllowsUpstream(m.Upstream.Addr()) || m.State == member.Left {
 		return target.Candidate{}, false
 	}
 	return target.Candidate{
-		ID: target.IDOf(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
+		ID: target.IDFromName(m.Name), Name: m.Name, Incarnation: m.Incarnation, Sequence: m.Sequence, Tunnel: m.Tunnel(),
 		Draining:  m.State != member.Alive || state.Draining(m.Service, m.Name),
 		Suspected: m.Suspected,
 	}, true
--- a/internal/process/streamagent/agent_test.go
+++ b/internal/process/streamagent/agent_test.go
@@ -133,7 +133,7 @@
 	a := newTestAgent(t, false)
 	d := &fakeFinder{failures: 2}
 	a.deps = Deps{Finder: d, Clock: &clock.Manual{}, Log: zerolog.Nop()}
-	a.deps.Clock.(*clock.Manual).Add(testNow)
+	a.deps.Clock.(*clock.Manual).Advance(testNow)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	go a.runLookups(ctx)
--- a/internal/process/streambalancer/evacuations_test.go
+++ b/internal/process/streambalancer/evacuations_test.go
@@ -37,7 +37,7 @@
 func newEvacuationReader(t *testing.T, o *fakeEvacuationSource) (*Balancer, *clock.Manual) {
 	t.Helper()
 	c := &clock.Manual{}
-	c.Add(testNow)
+	c.Advance(testNow)
 	b := newBalancer(Settings{Name: "b", Domain: "d", CPUShare: 100, Parcels: peerAddress(0)}, Deps{
 		Codec: fakeCodec{}, Evacuations: o, Clock: c, Log: zerolog.Nop(), Scope: tally.NoopScope,
 	}, 1)
@@ -87,7 +87,7 @@
 		if _, err := b.updateEvacuations(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		c.Add(idlePollMillis)
+		c.Advance(idlePollMillis)
 	}
 	if elapsed > 4200 || !slices.Equal(o.waitRevisions, []uint64{5}) {
 		t.Errorf("known after %d ms, waited from revisions %v", elapsed, o.waitRevisions)
--- a/internal/process/streambalancer/random_parcels_test.go
+++ b/internal/process/streambalancer/random_parcels_test.go
@@ -104,7 +104,7 @@
 	for seed := range uint64(8) {
 		r := randomParcels{rand.New(rand.NewPCG(seed, 9))}
 		manual := &clock.Manual{}
-		manual.Add(testNow)
+		manual.Advance(testNow)
 		b := newBalancer(Settings{
 			Name: "b000", Domain: "d0", Parcels: peerAddress(0), FlowTTL: clock.Minute,
 			Checkpoint: checkpoint.KeeperSettings{MaxValueSize: 1 << 16, FlowTTL: clock.Minute, WritesPerSecond: 10},
@@ -112,7 +112,7 @@
 		b.parcelSender, b.callerWriter = discardSender{t}, discardSender{t}
 		b.steerer.SetKeeper(seed%2 == 0)
 		for range 2000 {
-			manual.Add(clock.Millis(r.IntN(60)))
+			manual.Advance(clock.Millis(r.IntN(60)))
 			b.handleParcel(peerAddress(r.IntN(40)), r.parcel(), nil)
 			if r.IntN(3) == 0 {
 				b.step()
--- a/internal/process/streambalancer/sim_test.go
+++ b/internal/process/streambalancer/sim_test.go
@@ -191,7 +191,7 @@
 // syncClock sets the clock of a process to the time of the simulation.
 func (f *simFleet) syncClock(s *simProcess) clock.Millis {
 	at := testNow + clock.Millis(f.now/1000)
-	s.clock.Add(at.Sub(s.clock.Now()))
+	s.clock.Advance(at.Sub(s.clock.Now()))
 	return at
 }
 
--- a/internal/process/streambalancer/tick.go
+++ b/internal/process/streambalancer/tick.go
@@ -50,7 +50,7 @@
 
 // reportLateTick reports that this process was paused or lacks CPU time.
 func (b *Balancer) reportLateTick(now clock.Millis) {
-	late := now.Sub(b.lastTick) - clock.Of(tickInterval)
+	late := now.Sub(b.lastTick) - clock.FromDuration(tickInterval)
 	if b.lastTick != 0 && late > lateTickThreshold {
 		b.deps.Scope.Timer("late").Record(late.Duration())
 		b.deps.Log.Warn().Str("event", "late").Int64("age", int64(late)).Int("searches", b.steerer.Searches()).Send()
