--- a/cmd/wagtailtray/try.go
+++ b/cmd/wagtailtray/try.go
@@ -40,7 +40,7 @@
 		fmt.Fprintf(os.Stderr, "%6.2fs  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
 	}
 	options := try.Options{
-		Deployment: c.Deployment, Seed: c.Seed, For: c.For, Sessions: c.Sessions,
+		Deployment: c.Deployment, Seed: c.Seed, Duration: c.For, Sessions: c.Sessions,
 		Log: zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger(),
 	}
 	r, err := try.Run(ctx, options, progress)
@@ -48,7 +48,7 @@
 		return err
 	}
 	c.show(r)
-	if !r.Kept() {
+	if !r.Passed() {
 		return errBroken
 	}
 	return nil
--- a/internal/try/run.go
+++ b/internal/try/run.go
@@ -16,12 +16,12 @@
 	"github.com/wagtailtray/wagtailtray/pkg/answers"
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Deployment string
 	Seed       uint64
-	For        time.Duration
-	// Sessions is the number of sessions that are open at a time.
+	Duration   time.Duration
+	// Sessions is the mean number of concurrent sessions.
 	Sessions int
 	Log      zerolog.Logger
 }
@@ -45,153 +45,153 @@
 	Reverted      int                `json:"reverted"`
 	Imbalance     map[string]float64 `json:"imbalance"`
 	Versions      uint64             `json:"versions"`
-	// Delays are the milliseconds from each approval until it was in force
-	// in every failure domain.
+	// Delays holds, for each measured approval, the milliseconds until it was in
+	// force in every failure domain.
 	Delays  []float64 `json:"delays"`
 	Seconds float64   `json:"seconds"`
-	// Failed lists changes that could not be made at all.
+	// Failed lists the changes that failed.
 	Failed []string `json:"failed"`
 }
 
-// Kept reports whether every promise held.
-func (r *Report) Kept() bool {
+// Passed reports whether the run violated no guarantee and all changes succeeded.
+func (r *Report) Passed() bool {
 	sum := r.Crossed + r.Doubled + r.Lost + r.Partial + r.RanRefused + r.Reverted + r.BrokenPlanned + r.Late
 	return sum == 0 && len(r.Failed) == 0
 }
 
-// Progress is told what happens, a line at a time.
+// Progress is called with a line of text for each step of the run.
 type Progress func(format string, args ...any)
 
 const (
 	defaultSessions = 300
-	startLimit      = 20 * time.Second
-	inForceLimit    = 10 * time.Second
-	sampleEvery     = 250 * time.Millisecond
+	startTimeout    = 20 * time.Second
+	inForceTimeout  = 10 * time.Second
+	sampleInterval  = 250 * time.Millisecond
 )
 
-// run is one trial under way.
+// run is the state of one run.
 type run struct {
-	world    *World
-	options  Options
-	progress Progress
-	random   *rand.Rand
-	started  time.Time
-	balance  *balance
-	report   Report
-	sessions sync.WaitGroup
+	env       *Environment
+	options   Options
+	progress  Progress
+	random    *rand.Rand
+	startedAt time.Time
+	imbalance *imbalanceMean
+	report    Report
+	sessions  sync.WaitGroup
 }
 
 func durationOf(d answers.Duration) time.Duration {
 	return time.Duration(d)
 }
 
-// Run runs one trial.
+// Run runs a deployment and returns what callers and upstreams observed.
 func Run(ctx context.Context, o Options, progress Progress) (*Report, error) {
 	if o.Sessions <= 0 {
 		o.Sessions = defaultSessions
 	}
-	w, err := NewWorld(o.Deployment, o.Seed, o.Log)
+	e, err := NewEnvironment(o.Deployment, o.Seed, o.Log)
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer e.Close()
 	r := &run{
-		world: w, options: o, progress: progress, random: rand.New(rand.NewPCG(o.Seed, 2)),
-		balance: newBalance(), report: Report{Deployment: o.Deployment, Seed: o.Seed, Failed: []string{}, Delays: []float64{}},
+		env: e, options: o, progress: progress, random: rand.New(rand.NewPCG(o.Seed, 2)),
+		imbalance: newImbalanceMean(), report: Report{Deployment: o.Deployment, Seed: o.Seed, Failed: []string{}, Delays: []float64{}},
 	}
-	r.shorten()
+	r.shortenIdleTimeouts()
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	r.work(ctx)
+	r.runWorkload(ctx)
 	return r.finish(), nil
 }
 
-// idle is the idle time of a trial. Its sessions are hundreds of times shorter
-// than the deployments' own, and so is the time after which a silent one ends.
-const idle = 5 * time.Second
+// idleTimeout is the idle timeout during a run. Sessions are hundreds of times
+// shorter than those of the deployments, and the idle timeout is reduced with them.
+const idleTimeout = 5 * time.Second
 
-func (r *run) shorten() {
-	for i := range r.world.answers.Services {
-		r.world.answers.Services[i].Idle = answers.Duration(idle)
+func (r *run) shortenIdleTimeouts() {
+	for i := range r.env.answers.Services {
+		r.env.answers.Services[i].Idle = answers.Duration(idleTimeout)
 	}
 }
 
-// start brings the deployment up: configuration, balancers, targets.
+// start starts the deployment: configuration, balancers, targets.
 func (r *run) start(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	w := r.world
-	if err := r.approve(ctx, "first configuration", false); err != nil {
+	e := r.env
+	if err := r.approveConfiguration(ctx, "first configuration", false); err != nil {
 		return err
 	}
-	for i := range w.answers.Services {
-		if err := w.fabric.Listen(w.answers.Services[i].Address.AddrPort); err != nil {
+	for i := range e.answers.Services {
+		if err := e.fabric.Listen(e.answers.Services[i].Address.AddrPort); err != nil {
 			return err
 		}
 	}
-	for _, d := range w.answers.Domains {
+	for _, d := range e.answers.Domains {
 		for range balancersPerDomain {
-			if _, err := w.StartBalancer(context.WithoutCancel(ctx), d.Name); err != nil {
+			if _, err := e.StartBalancer(context.WithoutCancel(ctx), d.Name); err != nil {
 				return err
 			}
 		}
 	}
-	r.progress("%d balancers in %d failure domains", len(w.balancers), len(w.answers.Domains))
+	r.progress("%d balancers in %d failure domains", len(e.balancers), len(e.answers.Domains))
 	return r.startTargets(ctx)
 }
 
 func (r *run) startTargets(ctx context.Context) error {
-	w := r.world
-	started := make(chan error, firstTargets+secondTargets)
-	for i, count := range []int{firstTargets, secondTargets} {
-		service := w.answers.Services[i].Name
+	e := r.env
+	started := make(chan error, firstServiceTargets+secondServiceTargets)
+	for i, count := range []int{firstServiceTargets, secondServiceTargets} {
+		service := e.answers.Services[i].Name
 		for n := range count {
 			name := fmt.Sprintf("%s-%d", service, n+1)
-			domain := w.answers.Domains[n%len(w.answers.Domains)].Name
+			domain := e.answers.Domains[n%len(e.answers.Domains)].Name
 			go func() {
-				started <- w.StartTarget(context.WithoutCancel(ctx), service, name, domain, byte(i), byte(n+1))
+				started <- e.StartTarget(context.WithoutCancel(ctx), service, name, domain, byte(i), byte(n+1))
 			}()
 		}
 	}
-	for range firstTargets + secondTargets {
+	for range firstServiceTargets + secondServiceTargets {
 		select {
 		case err := <-started:
 			if err != nil {
 				return err
 			}
 		case <-ctx.Done():
-			return errs.New("not all targets have started within %s", startLimit)
+			return errs.New("not all targets started within %s", startTimeout)
 		}
 	}
-	r.progress("%d targets announced themselves", len(w.targets))
-	return w.ready(ctx)
+	r.progress("%d targets started", len(e.targets))
+	return e.waitUntilReady(ctx)
 }
 
-// work keeps sessions open while the changes are made.
-func (r *run) work(ctx context.Context) {
-	r.started = time.Now()
+// runWorkload keeps sessions open while the changes are made.
+func (r *run) runWorkload(ctx context.Context) {
+	r.startedAt = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	opening, stop := context.WithCancel(ctx)
 	defer stop()
 	var loops sync.WaitGroup
-	loops.Go(func() { r.keepSessions(opening, ctx) })
-	loops.Go(func() { r.sample(opening) })
-	// All changes are made, also where the machine is too slow for their times.
-	r.changes(ctx)
+	loops.Go(func() { r.openSessions(opening, ctx) })
+	loops.Go(func() { r.sampleImbalance(opening) })
+	// All changes are made, even if the machine is too slow for their start times.
+	r.makeChanges(ctx)
 	select {
 	case <-ctx.Done():
-	case <-time.After(r.options.For - time.Since(r.started)):
+	case <-time.After(r.options.Duration - time.Since(r.startedAt)):
 	}
 	stop()
 	loops.Wait()
-	r.progress("no new sessions; waiting for the open ones to end")
+	r.progress("no new sessions; waiting for open sessions to end")
 	r.sessions.Wait()
 }
 
-func (r *run) keepSessions(opening, ctx context.Context) {
-	mean := meanLength(r.options.For)
+func (r *run) openSessions(opening, ctx context.Context) {
+	mean := meanSessionLength(r.options.Duration)
 	gap := mean / time.Duration(r.options.Sessions)
 	ticker := time.NewTicker(max(gap, time.Millisecond))
 	defer ticker.Stop()
@@ -201,71 +201,71 @@
 			return
 		case <-ticker.C:
 		}
-		plan := r.plan(n, mean)
+		plan := r.sessionPlan(n, mean)
 		r.sessions.Go(func() {
-			if err := caller.Session(ctx, plan, r.world.oracle); err != nil {
-				r.endedEarly(&plan, err)
+			if err := caller.Session(ctx, plan, r.env.oracle); err != nil {
+				r.logEarlyEnd(&plan, err)
 			}
 		})
 	}
 }
 
-// endedEarly logs a session with the address that the product knows its flow by, and the
-// target that has served it.
-func (r *run) endedEarly(p *caller.Plan, err error) {
-	line := r.world.log.Warn().Str("event", "session").Str("service", p.Service)
+// logEarlyEnd logs a session that ended early, with the caller address that the
+// balancers see and the target that served it.
+func (r *run) logEarlyEnd(p *caller.Plan, err error) {
+	line := r.env.log.Warn().Str("event", "session").Str("service", p.Service)
 	var early *caller.EarlyError
 	if errors.As(err, &early) {
-		seen, _ := r.world.fabric.Seen(p.Address.Port(), early.Caller)
-		line = line.Uint64("session", early.Session).Stringer("caller", seen).Str("target", r.world.oracle.Served(early.Session))
+		seen, _ := r.env.fabric.Seen(p.Address.Port(), early.Caller)
+		line = line.Uint64("session", early.Session).Stringer("caller", seen).Str("target", r.env.oracle.Served(early.Session))
 	}
 	line.Err(err).Msg("session ended early")
 }
 
-// meanLength is that of a session: a fifth of the run, so that each target
-// sees several generations of sessions and every change meets open ones.
-func meanLength(total time.Duration) time.Duration {
+// meanSessionLength returns a fifth of the run, so that each target serves several
+// generations of sessions and sessions are open during every change.
+func meanSessionLength(total time.Duration) time.Duration {
 	return max(total/5, time.Second)
 }
 
-// sessionsOfFirst is how many of ten sessions are of the first service.
-const sessionsOfFirst = 7
+// firstServicePer10 is the number of sessions of the first service per 10 sessions.
+const firstServicePer10 = 7
 
-// plan draws what the n'th session does: every third one watches a feed, and
-// those of the second service fetch a download.
-func (r *run) plan(n int, mean time.Duration) caller.Plan {
-	service := &r.world.answers.Services[0]
-	if n%10 >= sessionsOfFirst {
-		service = &r.world.answers.Services[1]
+// sessionPlan draws the n-th session: every third one reads a feed, and those of
+// the second service also fetch a download.
+func (r *run) sessionPlan(n int, mean time.Duration) caller.Plan {
+	service := &r.env.answers.Services[0]
+	if n%10 >= firstServicePer10 {
+		service = &r.env.answers.Services[1]
 	}
 	length := time.Duration(min(r.random.ExpFloat64(), 3) * float64(mean))
 	p := caller.Plan{
-		Service: service.Name, Address: service.Address.AddrPort, Local: r.world.address(octetCaller, byte(1+n%200)),
+		Service: service.Name, Address: service.Address.AddrPort, Local: r.env.address(octetCaller, byte(1+n%200)),
 		Length: length, Pause: 300 * time.Millisecond,
 	}
 	if n%3 == 0 {
 		p.Every = 100
 		p.Ticks = int(length / (100 * time.Millisecond))
 	}
-	if service != &r.world.answers.Services[0] {
+	if service != &r.env.answers.Services[0] {
 		p.Bytes = 64 << 10
 	}
 	return p
 }
 
-// approve generates the configuration and approves it, and measures how long
-// it takes to be in force everywhere.
-func (r *run) approve(ctx context.Context, what string, measure bool) error {
-	w := r.world
-	base, err := approval.Load(ctx, w.store)
+// approveConfiguration generates and approves the configuration. If measure is set,
+// it records how long it takes to be in force everywhere.
+func (r *run) approveConfiguration(ctx context.Context, what string, measure bool) error {
+	e := r.env
+	base, err := approval.Load(ctx, e.store)
 	if err != nil {
 		return err
 	}
-	return r.commit(ctx, approval.NewPlan(base, w.generate(base), "try", time.Now().UTC().Format(time.RFC3339)), what, measure)
+	return r.commit(ctx, approval.NewPlan(base, e.generate(base), "try", time.Now().UTC().Format(time.RFC3339)), what, measure)
 }
 
 func (r *run) commit(ctx context.Context, p *approval.Plan, what string, measure bool) error {
-	state, err := approval.Commit(ctx, r.world.store, p)
+	state, err := approval.Commit(ctx, r.env.store, p)
 	if err != nil {
 		return err
 	}
@@ -273,9 +273,9 @@
 	if !measure {
 		return nil
 	}
-	took, ok := r.world.watch.wait(state.Root.Version, inForceLimit)
+	took, ok := r.env.versions.waitUntilInForce(state.Root.Version, inForceTimeout)
 	if !ok {
-		return errs.New("version %d not in force everywhere after %s", state.Root.Version, inForceLimit)
+		return errs.New("version %d is not in force everywhere after %s", state.Root.Version, inForceTimeout)
 	}
 	r.report.Delays = append(r.report.Delays, float64(took.Microseconds())/1000)
 	r.progress("version %d (%s) in force everywhere after %s", state.Root.Version, what, took.Round(time.Millisecond))
@@ -283,14 +283,14 @@
 }
 
 func (r *run) finish() *Report {
-	v := r.world.oracle.Verdict()
+	v := r.env.oracle.Verdict()
 	rep := &r.report
 	rep.Flows, rep.Opened, rep.Refused, rep.Requests = v.Flows, v.Opened, v.Refused, v.Requests
 	rep.Broken, rep.BrokenPlanned, rep.Crossed = v.Broken, v.Planned, v.Crossed
 	rep.Doubled, rep.Lost, rep.Partial = v.Doubled, v.Lost, v.Partial
 	rep.RanRefused, rep.Late = v.RanRefused, v.Late
-	rep.Reverted = r.world.watch.revertedCount()
-	rep.Imbalance = r.balance.mean()
-	rep.Seconds = time.Since(r.started).Seconds()
+	rep.Reverted = r.env.versions.revertedCount()
+	rep.Imbalance = r.imbalance.perService()
+	rep.Seconds = time.Since(r.startedAt).Seconds()
 	return rep
 }
--- a/internal/try/try_test.go
+++ b/internal/try/try_test.go
@@ -10,21 +10,21 @@
 	"github.com/wagtailtray/wagtailtray/internal/try"
 )
 
-// Sessions run while targets drain and are replaced, agents and balancers
-// restart, a configuration is approved and the platform goes down. Callers and
-// upstreams must see nothing of all that.
+// Callers and upstreams must not notice planned changes: sessions run while targets
+// drain and are replaced, agents and balancers restart, a configuration is approved
+// and the platform is unavailable.
 func TestRun(t *testing.T) {
 	for _, deployment := range try.Deployments() {
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
 			r, err := try.Run(t.Context(), try.Options{
-				Deployment: deployment, Seed: 1, For: 12 * time.Second, Sessions: 60,
+				Deployment: deployment, Seed: 1, Duration: 12 * time.Second, Sessions: 60,
 				Log: zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.WarnLevel),
 			}, func(format string, args ...any) { t.Logf(format, args...) })
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Kept() || r.Opened == 0 || r.Versions != 4 {
+			if !r.Passed() || r.Opened == 0 || r.Versions != 4 {
 				t.Errorf("%s", fmt.Sprintf("%+v", r))
 			}
 		})
--- a/internal/try/versions.go
+++ b/internal/try/versions.go
@@ -5,69 +5,70 @@
 	"time"
 )
 
-// versions watches which version each balancer has in force.
-type versions struct {
+// versionTracker tracks the version that each balancer has in force.
+type versionTracker struct {
 	mu       sync.Mutex
-	held     map[string]uint64
+	inForce  map[string]uint64
 	domains  map[string]string
 	reverted int
 	changed  chan struct{}
 }
 
-func newVersions() *versions {
-	return &versions{held: map[string]uint64{}, domains: map[string]string{}, changed: make(chan struct{})}
+func newVersionTracker() *versionTracker {
+	return &versionTracker{inForce: map[string]uint64{}, domains: map[string]string{}, changed: make(chan struct{})}
 }
 
-func (v *versions) join(domain, name string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.domains[name] = domain
+func (t *versionTracker) addBalancer(domain, name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.domains[name] = domain
 }
 
-func (v *versions) leave(name string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	delete(v.domains, name)
-	delete(v.held, name)
-	v.wake()
+func (t *versionTracker) removeBalancer(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.domains, name)
+	delete(t.inForce, name)
+	t.notify()
 }
 
-// wake runs with mu held.
-func (v *versions) wake() {
-	close(v.changed)
-	v.changed = make(chan struct{})
+// notify wakes waiters. The caller holds mu.
+func (t *versionTracker) notify() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-func (v *versions) saw(_, name string, version uint64) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if version < v.held[name] {
-		v.reverted++
+func (t *versionTracker) setVersion(_, name string, version uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if version < t.inForce[name] {
+		t.reverted++
 	}
-	v.held[name] = version
-	v.wake()
+	t.inForce[name] = version
+	t.notify()
 }
 
-// everywhere reports that every balancer of every domain holds the version.
-func (v *versions) everywhere(version uint64) (bool, chan struct{}) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for name := range v.domains {
-		if v.held[name] < version {
-			return false, v.changed
+// inForceEverywhere reports whether every balancer has the version or a later one,
+// and returns a channel that is closed at the next update.
+func (t *versionTracker) inForceEverywhere(version uint64) (bool, chan struct{}) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for name := range t.domains {
+		if t.inForce[name] < version {
+			return false, t.changed
 		}
 	}
-	return true, v.changed
+	return true, t.changed
 }
 
-// wait returns how long it takes from now until the version is in force
-// everywhere, at most the limit.
-func (v *versions) wait(version uint64, limit time.Duration) (time.Duration, bool) {
+// waitUntilInForce waits up to limit until the version is in force everywhere, and
+// returns how long that took.
+func (t *versionTracker) waitUntilInForce(version uint64, limit time.Duration) (time.Duration, bool) {
 	start := time.Now()
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
-		done, changed := v.everywhere(version)
+		done, changed := t.inForceEverywhere(version)
 		if done {
 			return time.Since(start), true
 		}
@@ -79,8 +80,8 @@
 	}
 }
 
-func (v *versions) revertedCount() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.reverted
+func (t *versionTracker) revertedCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.reverted
 }
