--- a/internal/try/changes.go
+++ b/internal/try/changes.go
@@ -111,8 +111,8 @@
 // replaceTarget stops a drained target and starts a new one of the same name on
 // another VM. It first waits for the drained target's flows to end, for up to
 // Options.Duration. It does not wait for connections that only the upstream still
-// counts: the datagram that closed them was lost, and the agent has already removed
-// their flows as idle.
+// counts: their closing datagrams were lost, their callers are gone, and the agent
+// has removed their flows as idle.
 func (r *run) replaceTarget(ctx context.Context, name string) error {
 	t := r.env.target(name)
 	deadline := time.Now().Add(r.options.Duration)
--- a/internal/try/run.go
+++ b/internal/try/run.go
@@ -21,7 +21,7 @@
 	Deployment string
 	Seed       uint64
 	Duration   time.Duration
-	// Sessions is the mean number of concurrent sessions.
+	// Sessions is the approximate number of concurrent sessions.
 	Sessions int
 	Log      zerolog.Logger
 }
