--- a/internal/measures/baseline.go
+++ b/internal/measures/baseline.go
@@ -60,7 +60,7 @@
 		b.open = append(b.open, map[uint64]*flow{})
 	}
 	b.previous = append([]bool(nil), b.targets...)
-	lengths := model.NewLengths(model.Load{PerTarget: c.PerTarget, Mean: mean, Sigma: sigma}, seed)
+	lengths := model.NewFlowLengths(model.Workload{FlowsPerTarget: c.PerTarget, MeanLength: mean, Sigma: sigma}, seed)
 	for range c.PerTarget * c.Targets {
 		b.start(lengths.Remaining())
 	}
@@ -68,12 +68,12 @@
 	b.arrive(lengths, c.Targets)
 	b.Run(settle)
 	plan(c.Scenario, b, c.Targets)
-	var balance model.Balance
+	var balance model.BalanceStats
 	for range sampled / sampleGap {
 		b.Run(sampleGap)
 		balance.Add(b.conns())
 	}
-	b.result.Ratio, b.result.Variation, b.result.Hops = balance.Ratio(), balance.Variation(), 1
+	b.result.Ratio, b.result.Variation, b.result.Hops = balance.MaxToMean(), balance.CoefficientOfVariation(), 1
 	return b.result
 }
 
@@ -81,9 +81,9 @@
 	b.After(d, do)
 }
 
-func (b *baseline) arrive(l *model.Lengths, targets int) {
-	b.after(clock.Millis(l.Gap(targets)+b.random.Float64()), func() {
-		b.start(l.Draw())
+func (b *baseline) arrive(l *model.FlowLengths, targets int) {
+	b.after(clock.Millis(l.ArrivalInterval(targets)+b.random.Float64()), func() {
+		b.start(l.Next())
 		b.arrive(l, targets)
 	})
 }
--- a/internal/measures/hops.go
+++ b/internal/measures/hops.go
@@ -29,12 +29,12 @@
 // Hops runs a service with flows that send all the time, opening ones included.
 func Hops(c Case, balancers int, seed uint64) Chatty {
 	w := model.New(model.Options{
-		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001, Digest: c.Digest,
+		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001, DigestInterval: c.Digest,
 	})
 	out := Chatty{Case: c, Balancers: balancers}
 	passed := map[uint64]int{}
 	passes := 0
-	w.Trace = func(h model.Hop) {
+	w.Trace = func(h model.TraceEvent) {
 		switch h.Decision.Action {
 		case owner.Pass:
 			passed[h.Flow]++
--- a/internal/measures/measures.go
+++ b/internal/measures/measures.go
@@ -102,20 +102,20 @@
 func RunOurs(c Case, seed uint64) Result {
 	w := model.New(model.Options{
 		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001,
-		Spread: spread, Digest: c.Digest, Quiet: true, Ramp: ramp, Lie: c.Scenario == Lies,
+		MaxPropagationDelay: spread, DigestInterval: c.Digest, NoRequests: true, RampTime: ramp, FalseReports: c.Scenario == Lies,
 	})
-	g := model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: mean, Sigma: sigma})
+	g := model.NewGenerator(w, model.Workload{FlowsPerTarget: c.PerTarget, MeanLength: mean, Sigma: sigma})
 	w.Run(settle)
 	dead := 0
 	plan(c.Scenario, &worldChanges{world: w, generator: g, dead: &dead}, c.Targets)
-	var b model.Balance
+	var b model.BalanceStats
 	for range sampled / sampleGap {
 		w.Run(sampleGap)
 		b.Add(w.Conns())
 	}
 	v := w.Verdict()
 	return Result{
-		Case: c, Way: Ours, Flows: v.Flows, Broken: dead + w.Stranded(), Dead: dead, Ratio: b.Ratio(), Variation: b.Variation(),
+		Case: c, Way: Ours, Flows: v.Flows, Broken: dead + w.UnansweredFlows(), Dead: dead, Ratio: b.MaxToMean(), Variation: b.CoefficientOfVariation(),
 		Hops: float64(w.Hops) / float64(max(w.Datagrams, 1)), Doubled: v.Doubled,
 	}
 }
@@ -129,9 +129,9 @@
 func Refill(c Case, seed uint64) (took, least float64) {
 	w := model.New(model.Options{
 		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001,
-		Spread: spread, Digest: c.Digest, Quiet: true,
+		MaxPropagationDelay: spread, DigestInterval: c.Digest, NoRequests: true,
 	})
-	model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: mean, Sigma: sigma})
+	model.NewGenerator(w, model.Workload{FlowsPerTarget: c.PerTarget, MeanLength: mean, Sigma: sigma})
 	w.Run(settle)
 	w.Add("joined")
 	// It opens flows from the end of its joining on.
@@ -139,9 +139,9 @@
 	start := w.Now()
 	for w.Now().Sub(start) < 2*mean {
 		w.Run(sampleGap)
-		var b model.Balance
+		var b model.BalanceStats
 		b.Add(w.Conns())
-		if b.Ratio() < refilled {
+		if b.MaxToMean() < refilled {
 			break
 		}
 	}
--- a/internal/measures/openings.go
+++ b/internal/measures/openings.go
@@ -38,7 +38,7 @@
 // Openings opens flows while targets change.
 func Openings(seed uint64, flows int, every, spread time.Duration) Opened {
 	w := model.New(model.Options{
-		Seed: seed, Targets: openTargets, Balancers: openBalancers, Jitter: 5, Loss: 0.001, Duplicate: 0.001, Spread: clock.Of(spread),
+		Seed: seed, Targets: openTargets, Balancers: openBalancers, Jitter: 5, Loss: 0.001, Duplicate: 0.001, MaxPropagationDelay: clock.Of(spread),
 	})
 	random := rand.New(rand.NewPCG(seed, 11))
 	out := Opened{Flows: flows}
@@ -46,7 +46,7 @@
 	for i := range flows {
 		c := w.Open(openLength)
 		if i%resendEvery == 0 {
-			w.After(clock.Millis(random.IntN(1500)), func() { c.ResendUnopened() })
+			w.After(clock.Millis(random.IntN(1500)), func() { c.ResendIfUnopened() })
 			out.Resends++
 		}
 		w.Run(openGap)
--- a/internal/standin/model/balancer.go
+++ b/internal/standin/model/balancer.go
@@ -8,21 +8,21 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// Balancer is one balancer's decisions.
+// Balancer is a simulated balancer.
 type Balancer struct {
 	world   *World
 	address netip.AddrPort
 	roster  roster
 	set     *target.Set
 	hints   *target.Hints
-	// paths says which of its ports is used towards each target.
+	// paths selects the local port used towards each target.
 	paths target.Paths
-	// Deaf balancers hear no news of targets any more.
-	Deaf bool
-	Dead bool
+	// UpdatesBlocked balancers receive no more updates about targets.
+	UpdatesBlocked bool
+	Dead           bool
 }
 
-// AddBalancer starts a balancer that knows the truth and no flow.
+// AddBalancer starts a balancer that knows the current targets and no flows.
 func (w *World) AddBalancer() *Balancer {
 	n := len(w.Balancers) + 1
 	b := &Balancer{
@@ -31,24 +31,24 @@
 		hints:   target.NewHints(target.Limits{Hints: 1 << 16, Pending: 1 << 14, Walks: 1 << 20}),
 	}
 	w.Balancers = append(w.Balancers, b)
-	for _, c := range w.news {
-		b.roster.hear(known{Candidate: c})
+	for _, c := range w.published {
+		b.roster.apply(knownTarget{Candidate: c})
 	}
 	b.set = b.roster.set(service)
 	return b
 }
 
-func (b *Balancer) hear(k known) {
-	b.roster.hear(k)
+func (b *Balancer) applyUpdate(k knownTarget) {
+	b.roster.apply(k)
 	b.set = b.roster.set(service)
 }
 
-// Forget makes the balancer lose its hints, as a full memory does.
-func (b *Balancer) Forget() {
+// DropHints makes the balancer lose its hints, as when its hint table is full.
+func (b *Balancer) DropHints() {
 	b.hints = target.NewHints(target.Limits{Hints: 1 << 16, Pending: 1 << 14, Walks: 1 << 20})
 }
 
-// forward does what a balancer does with a caller's datagram.
+// forward routes a caller's datagram to a target.
 func (b *Balancer) forward(caller netip.AddrPort, d *datagram) {
 	w := b.world
 	if b.Dead {
@@ -59,16 +59,17 @@
 	if !ok {
 		return
 	}
-	if w.Options.Without == WalkAll {
-		// Neither the walk nor the next attempt's start finds the owner.
+	if w.Options.Disabled == WalkAll {
+		// The walk ends at its first target, and without hints the next
+		// attempt starts there again.
 		route.Budget = 1
-		b.Forget()
+		b.DropHints()
 	}
 	e := &wire.Envelope{
 		Kind: wire.Kind_KIND_FORWARD, Stage: route.Stage, Service: service, Target: route.Target.ID,
-		Incarnation: route.Target.Incarnation, Caller: key, Ask: route.Ask, Budget: route.Budget, Payload: d.bytes(),
+		Incarnation: route.Target.Incarnation, Caller: key, Ask: route.Ask, Budget: route.Budget, Payload: d.payload(),
 	}
-	if w.Options.Without != Rotation {
+	if w.Options.Disabled != PortChange {
 		if route.Silent != 0 {
 			b.paths.Change(w.Now(), route.Silent)
 		}
@@ -77,12 +78,12 @@
 		}
 	}
 	w.Datagrams++
-	from := b.socket(route.Target.ID)
-	w.tunnel(from, route.Target.Tunnel, e, from, d)
+	from := b.socketFor(route.Target.ID)
+	w.sendEnvelope(from, route.Target.Tunnel, e, from, d)
 }
 
-// confirm takes an owner's hint.
-func (b *Balancer) confirm(caller netip.AddrPort, owner target.ID, incarnation uint32) {
+// handleHint records an owner's hint.
+func (b *Balancer) handleHint(caller netip.AddrPort, owner target.ID, incarnation uint32) {
 	if !b.Dead {
 		b.paths.Heard(owner)
 		b.hints.Confirm(b.world.Now(), service, caller, envelope.AppendCaller(nil, caller), owner, incarnation)
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// socket returns what the balancer uses towards a target now.
-func (b *Balancer) socket(id target.ID) netip.AddrPort {
+// socketFor returns the local address that the balancer currently uses towards
+// a target.
+func (b *Balancer) socketFor(id target.ID) netip.AddrPort {
 	return netip.AddrPortFrom(b.address.Addr(), b.address.Port()+uint16(b.paths.Port(id)))
 }
--- a/internal/standin/model/caller.go
+++ b/internal/standin/model/caller.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// firstResend is a caller's first pause before it sends again; each
-	// further one is twice as long.
-	firstResend = clock.Second
-	// handshake is how long a caller tries to open a flow.
-	handshake = 10 * clock.Second
-	// request is the time between two requests of an open flow, patience
-	// how long a caller goes without any answer before it gives up.
-	request  = 400 * clock.Millis(1)
-	patience = 8 * clock.Second
+	// initialResendDelay is a caller's delay before its first retransmission;
+	// it doubles with each further one.
+	initialResendDelay = clock.Second
+	// handshakeTimeout is how long a caller tries to open a flow.
+	handshakeTimeout = 10 * clock.Second
+	// requestInterval is the time between two requests of an open flow,
+	// answerTimeout how long a caller goes without any answer before it
+	// gives up.
+	requestInterval = 400 * clock.Millis(1)
+	answerTimeout   = 8 * clock.Second
 )
 
 // Caller is one caller with one flow.
@@ -26,58 +27,59 @@
 	address netip.AddrPort
 	opened  bool
 	Ended   bool
-	// heard is when the last answer came.
-	heard clock.Millis
+	// lastAnswerAt is when the last answer arrived.
+	lastAnswerAt clock.Millis
 }
 
-// Open lets a caller open a flow that lasts for a while; 0 is until the end.
+// Open makes a new caller open a flow of the given length; 0 means that it stays
+// open until End.
 func (w *World) Open(length clock.Millis) *Caller {
-	w.port++
-	c := &Caller{world: w, Flow: uint64(w.port), address: callerAddress(w.port), heard: w.Now()}
+	w.lastPort++
+	c := &Caller{world: w, Flow: uint64(w.lastPort), address: callerAddress(w.lastPort), lastAnswerAt: w.Now()}
 	w.callers[c.address] = c
 	w.Oracle.Verdict.Flows++
-	c.open(firstResend)
-	w.After(handshake, c.giveUp)
+	c.sendOpening(initialResendDelay)
+	w.After(handshakeTimeout, c.abandonOpening)
 	if length > 0 {
 		w.After(length, c.End)
 	}
 	return c
 }
 
-// callerAddress gives each flow an address of its own.
+// callerAddress returns a distinct address for each caller number.
 func callerAddress(n uint32) netip.AddrPort {
 	var ip [4]byte
 	binary.BigEndian.PutUint32(ip[:], 0x64000000|n>>14)
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(1024+n&0x3fff))
 }
 
-// open sends the opening datagram, and again until it is answered.
-func (c *Caller) open(pause clock.Millis) {
+// sendOpening sends the opening datagram and retransmits it until it is answered.
+func (c *Caller) sendOpening(pause clock.Millis) {
 	if c.opened || c.Ended {
 		return
 	}
-	c.Resend()
-	c.world.After(pause, func() { c.open(2 * pause) })
+	c.SendOpening()
+	c.world.After(pause, func() { c.sendOpening(2 * pause) })
 }
 
-// Resend lets the caller send its opening datagram once more.
-func (c *Caller) Resend() {
+// SendOpening sends the caller's opening datagram once.
+func (c *Caller) SendOpening() {
 	c.send(&datagram{flow: c.Flow, opening: true, replyTo: c.address, caller: c})
 }
 
-// ResendUnopened is Resend for a caller that no answer has reached yet.
-func (c *Caller) ResendUnopened() {
+// ResendIfUnopened is SendOpening for a caller that no answer has reached yet.
+func (c *Caller) ResendIfUnopened() {
 	if !c.opened && !c.Ended {
-		c.Resend()
+		c.SendOpening()
 	}
 }
 
-// send hands a datagram to a balancer drawn at random.
+// send sends a datagram to a random balancer.
 func (c *Caller) send(d *datagram) {
 	w := c.world
 	alive := make([]*Balancer, 0, len(w.Balancers))
 	for _, b := range w.Balancers {
-		if !b.Dead && (w.apart == nil || w.apart.balancer != b) {
+		if !b.Dead && (w.partition == nil || w.partition.balancer != b) {
 			alive = append(alive, b)
 		}
 	}
@@ -93,10 +95,10 @@
 	if c.Ended || d.flow != c.Flow {
 		return
 	}
-	c.heard = c.world.Now()
+	c.lastAnswerAt = c.world.Now()
 	if refused {
 		c.world.Oracle.Verdict.Refused++
-		c.world.Oracle.tell(c.Flow)
+		c.world.Oracle.recordRefusalReceived(c.Flow)
 		c.End()
 		return
 	}
@@ -105,27 +107,28 @@
 	}
 	c.opened = true
 	c.world.Oracle.Verdict.Opened++
-	if !c.world.Options.Quiet {
-		c.world.After(request, c.request)
+	if !c.world.Options.NoRequests {
+		c.world.After(requestInterval, c.sendRequests)
 	}
 }
 
-// request sends one request after the other, and notices a silent flow.
-func (c *Caller) request() {
+// sendRequests sends a request at each interval, and ends a flow that is no
+// longer answered as broken.
+func (c *Caller) sendRequests() {
 	if c.Ended {
 		return
 	}
 	w := c.world
-	if w.Now()-c.heard > patience {
+	if w.Now()-c.lastAnswerAt > answerTimeout {
 		w.Oracle.Verdict.Broken++
 		c.End()
 		return
 	}
 	c.send(&datagram{flow: c.Flow, replyTo: c.address, caller: c})
-	w.After(request, c.request)
+	w.After(requestInterval, c.sendRequests)
 }
 
-func (c *Caller) giveUp() {
+func (c *Caller) abandonOpening() {
 	if c.opened || c.Ended {
 		return
 	}
@@ -133,21 +136,22 @@
 	c.End()
 }
 
-// End closes the flow: the upstreams forget it.
+// End closes the flow and removes it from the upstreams.
 func (c *Caller) End() {
 	if c.Ended {
 		return
 	}
 	c.Ended = true
-	c.world.Oracle.forget(c.Flow)
+	c.world.Oracle.endFlow(c.Flow)
 	delete(c.world.callers, c.address)
 }
 
-// Move gives the caller a new address, as a translator does that forgot it.
-func (c *Caller) Move() {
+// ChangeAddress gives the caller a new address, as a NAT does that lost its
+// mapping.
+func (c *Caller) ChangeAddress() {
 	w := c.world
 	delete(w.callers, c.address)
-	w.port++
-	c.address = callerAddress(w.port)
+	w.lastPort++
+	c.address = callerAddress(w.lastPort)
 	w.callers[c.address] = c
 }
--- a/internal/standin/model/change.go
+++ b/internal/standin/model/change.go
@@ -9,110 +9,111 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Drain lets a target finish its flows, or ends that. The agent acts at once;
-// the others hear of it.
+// Drain starts or ends the drain of a target. Its agent acts at once; the other
+// processes learn of it by an update.
 func (w *World) Drain(name string, on bool) {
-	t := w.find(name)
+	t := w.findTarget(name)
 	t.draining = on
-	t.drained = 0
+	t.drainingSince = 0
 	if on {
-		t.drained = w.Now()
+		t.drainingSince = w.Now()
 	}
-	w.changed(t)
+	w.publishChange(t)
 }
 
-// Suspect spreads a suspicion, true or false, or takes it back.
+// Suspect marks a target as suspected or not, and publishes that. Whether the
+// target is dead makes no difference.
 func (w *World) Suspect(name string, on bool) {
-	t := w.find(name)
+	t := w.findTarget(name)
 	t.suspected = on
-	w.changed(t)
+	w.publishChange(t)
 }
 
-func (w *World) changed(t *Target) {
-	t.changes++
-	t.rebuild(w.Now())
-	w.tell(t.candidate())
+func (w *World) publishChange(t *Target) {
+	t.stateSequence++
+	t.rebuildView(w.Now())
+	w.publish(t.candidate())
 }
 
-// Kill ends a target without warning. It is suspected after a while, unless
-// it has a successor by then.
+// Kill crashes a target. It is suspected after suspectAfter, unless it has a
+// successor by then.
 func (w *World) Kill(name string, suspectAfter clock.Millis) {
-	t := w.find(name)
-	t.Dead, t.lost = true, true
+	t := w.findTarget(name)
+	t.Dead, t.upstreamLost = true, true
 	w.After(suspectAfter, func() {
-		if w.find(name) == t {
+		if w.findTarget(name) == t {
 			t.suspected = true
-			w.tell(t.candidate())
+			w.publish(t.candidate())
 		}
 	})
 }
 
-// Restart replaces a target's agent as planned: its ledger goes to the
-// successor, and the upstream stays.
+// Restart restarts a target's agent as planned: the successor gets its ledger,
+// and the upstream keeps running. No agent runs during gap.
 func (w *World) Restart(name string, gap clock.Millis) {
-	t := w.find(name)
+	t := w.findTarget(name)
 	t.stopped = true
-	w.tell(t.candidate())
+	w.publish(t.candidate())
 	ledger := t.table.NewLedger(w.Now(), name, t.view)
-	next := w.successor(t)
-	next.drained, next.draining, next.suspected = t.drained, t.draining, false
-	next.inherits = !t.joining
-	next.started = t.started
+	next := w.newSuccessor(t)
+	next.drainingSince, next.draining, next.suspected = t.drainingSince, t.draining, false
+	next.tookOver = !t.joining
+	next.startedAt = t.startedAt
 	w.After(gap, func() {
-		next.upstream = t.upstream
-		if w.Options.Without != Ledger {
+		next.connections = t.connections
+		if w.Options.Disabled != Ledger {
 			next.table.Import(w.Now(), ledger, next)
 		}
-		w.replace(t, next)
-		w.Oracle.inherit(t, next)
+		w.swapTarget(t, next)
+		w.Oracle.replaceTarget(t, next)
 	})
 }
 
-// Replace puts a new target of the same name on another VM, with an upstream
-// that knows nothing. What the old one still served is lost.
+// Replace starts a new target of the same name on another VM, with an empty
+// upstream. The flows that the old one still served are lost.
 func (w *World) Replace(name string, gap clock.Millis) {
-	t := w.find(name)
-	t.stopped, t.lost = true, true
-	w.tell(t.candidate())
-	next := w.successor(t)
-	next.tunnel = w.newTarget(name, w.host(), 0).tunnel
-	w.After(gap, func() { w.replace(t, next) })
+	t := w.findTarget(name)
+	t.stopped, t.upstreamLost = true, true
+	w.publish(t.candidate())
+	next := w.newSuccessor(t)
+	next.tunnel = w.newTarget(name, w.newHost(), 0).tunnel
+	w.After(gap, func() { w.swapTarget(t, next) })
 }
 
-func (w *World) successor(t *Target) *Target {
+func (w *World) newSuccessor(t *Target) *Target {
 	next := w.newTarget(t.Name, 0, t.Incarnation+1)
 	next.tunnel = t.tunnel
 	return next
 }
 
-// replace puts a target in the place of its predecessor.
-func (w *World) replace(old, next *Target) {
+// swapTarget replaces a target by its successor.
+func (w *World) swapTarget(old, next *Target) {
 	w.Targets[slices.Index(w.Targets, old)] = next
-	if !next.inherits {
-		next.started = w.Now()
-		w.join(next)
+	if !next.tookOver {
+		next.startedAt = w.Now()
+		w.delayOpenings(next)
 	}
-	next.learn(w.news, w.Now())
-	w.tell(next.candidate())
-	w.keep(next)
+	next.loadRoster(w.published, w.Now())
+	w.publish(next.candidate())
+	w.startTimers(next)
 }
 
-// Add starts a target that was not there before. It learns what a balancer
-// knows and hears the rest later, as the others hear of it.
+// Add starts a new target. It first learns the targets that one balancer knows,
+// and the rest after a propagation delay.
 func (w *World) Add(name string) {
-	t := w.newTarget(name, w.host(), 1)
+	t := w.newTarget(name, w.newHost(), 1)
 	w.Targets = append(w.Targets, t)
-	t.learn(w.known(), w.Now())
-	w.After(w.lag(), func() { t.learn(w.news, w.Now()) })
-	w.join(t)
-	w.tell(t.candidate())
-	w.keep(t)
+	t.loadRoster(w.rosterOfBalancer(), w.Now())
+	w.After(w.propagationDelay(), func() { t.loadRoster(w.published, w.Now()) })
+	w.delayOpenings(t)
+	w.publish(t.candidate())
+	w.startTimers(t)
 }
 
-// known returns the targets that some balancer knows.
-func (w *World) known() map[target.ID]target.Candidate {
+// rosterOfBalancer returns the targets that a random balancer knows.
+func (w *World) rosterOfBalancer() map[target.ID]target.Candidate {
 	if len(w.Balancers) == 0 {
-		return w.news
+		return w.published
 	}
 	b := w.Balancers[w.random.IntN(len(w.Balancers))]
 	all := map[target.ID]target.Candidate{}
@@ -122,43 +123,45 @@
 	return all
 }
 
-// join keeps a target that starts without flows from opening any for a while.
-func (w *World) join(t *Target) {
-	if w.Options.Without == Joining {
+// delayOpenings keeps a target that starts without flows from opening any until
+// updates have propagated.
+func (w *World) delayOpenings(t *Target) {
+	if w.Options.Disabled == Joining {
 		return
 	}
 	t.joining = true
 	w.After(owner.NewsLag, func() {
 		t.joining = false
 		if t.running() {
-			w.changed(t)
+			w.publishChange(t)
 		}
 	})
 }
 
-// Usurp puts an agent of another service at a target's address, on a VM that
-// was given the address anew. The target itself is gone; it is suspected after
-// a while.
-func (w *World) Usurp(name string, suspectAfter clock.Millis) {
-	t := w.find(name)
+// ReuseAddress crashes a target and starts an agent of another service at its
+// address, as on a new VM that was assigned the same address. The crashed target
+// is suspected after suspectAfter.
+func (w *World) ReuseAddress(name string, suspectAfter clock.Millis) {
+	t := w.findTarget(name)
 	w.Kill(name, suspectAfter)
 	other := w.newTarget(name, 0, t.Incarnation)
 	other.tunnel = t.tunnel
 	other.service = service + 1
-	other.rebuild(w.Now())
+	other.rebuildView(w.Now())
 	other.Name = "usurper"
 	w.Targets = append(w.Targets, other)
 }
 
-// ForgetPaths makes the network lose track of every pair of sockets that
-// balancers use towards a target now. Other pairs work.
-func (w *World) ForgetPaths(name string) {
-	t := w.find(name)
-	dead := map[netip.AddrPort]bool{}
+// DropPathState makes the network drop the datagrams between a target and the
+// sockets that balancers currently use towards it, as a stateful middlebox that
+// lost its flow state does. Other sockets work.
+func (w *World) DropPathState(name string) {
+	t := w.findTarget(name)
+	stateless := map[netip.AddrPort]bool{}
 	for _, b := range w.Balancers {
-		dead[b.socket(t.ID)] = true
+		stateless[b.socketFor(t.ID)] = true
 	}
 	w.Cut = func(from, to netip.AddrPort) bool {
-		return to == t.tunnel && dead[from] || from == t.tunnel && dead[to]
+		return to == t.tunnel && stateless[from] || from == t.tunnel && stateless[to]
 	}
 }
--- a/internal/standin/model/fuzz_test.go
+++ b/internal/standin/model/fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// change is one planned change or loss of news, as a command of gopter.
+// change is one planned change or loss of hints, as a gopter command.
 type change struct {
 	name string
 	do   func(w *model.World)
@@ -33,8 +33,8 @@
 	return w.Verdict()
 }
 
-// PostCondition is the oracle: nothing that callers and upstreams saw may be a
-// broken promise, after any sequence of planned changes.
+// PostCondition checks that the guarantees hold for callers and upstreams after any
+// sequence of planned changes.
 func (c change) PostCondition(_ commands.State, result commands.Result) *gopter.PropResult {
 	v := result.(model.Verdict)
 	if v.Broken+v.Doubled+v.Stray+v.RanRefused+v.Foreign+v.Late > 0 {
@@ -51,7 +51,7 @@
 		{"restart " + name, func(w *model.World) { w.Restart(name, 100) }},
 		{"suspect " + name, func(w *model.World) { w.Suspect(name, true) }},
 		{"trust " + name, func(w *model.World) { w.Suspect(name, false) }},
-		{"forget hints", func(w *model.World) { w.Balancers[0].Forget() }},
+		{"drop hints", func(w *model.World) { w.Balancers[0].DropHints() }},
 		{"balancer joins", func(w *model.World) { w.AddBalancer() }},
 		{"wait", func(w *model.World) { w.Run(3 * clock.Second) }},
 	}
@@ -62,8 +62,9 @@
 	return gens
 }
 
-// TestFuzz runs random sequences of changes against the oracle. The seed is
-// fixed in CI; WAGTAILTRAY_FUZZ=N runs N sequences with a fresh, printed seed.
+// TestFuzz runs random sequences of changes and checks the verdict. The seed is
+// fixed in CI; WAGTAILTRAY_FUZZ=N runs N sequences with a random seed, which is
+// logged.
 func TestFuzz(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	parameters.MinSuccessfulTests = 25
@@ -82,13 +83,13 @@
 		NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest {
 			worlds++
 			return model.New(model.Options{
-				Seed: worlds, Targets: 4, Balancers: 3, Jitter: 4, Duplicate: 0.02, Spread: clock.Second,
+				Seed: worlds, Targets: 4, Balancers: 3, Jitter: 4, Duplicate: 0.02, MaxPropagationDelay: clock.Second,
 			})
 		},
 		InitialStateGen: gen.Const(0),
 		GenCommandFunc:  func(commands.State) gopter.Gen { return gen.OneGenOf(gens...) },
 	})
 	properties := gopter.NewProperties(parameters)
-	properties.Property("promises hold", property)
+	properties.Property("guarantees hold", property)
 	properties.TestingRun(t)
 }
--- a/internal/standin/model/matrix_test.go
+++ b/internal/standin/model/matrix_test.go
@@ -18,26 +18,26 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !c.Met {
-					t.Error(c.Seen())
+				if !c.Passed {
+					t.Error(c.Observed())
 				}
 			})
 		}
 	}
 }
 
-// A safeguard whose loss no check sees is not proved. Each scenario is clean
-// as the product is, and not clean without its safeguard.
-func TestSafeguardsBite(t *testing.T) {
-	for _, b := range model.Bites() {
-		t.Run(string(b.Without), func(t *testing.T) {
+// Guards against a safeguard whose absence no check detects. Each scenario has no
+// violations with its safeguard, and has some when the safeguard is disabled.
+func TestSafeguardsAreNecessary(t *testing.T) {
+	for _, b := range model.SafeguardTests() {
+		t.Run(string(b.Disabled), func(t *testing.T) {
 			with := run(t, fmt.Sprintf(b.Scenario, ""))
-			without := run(t, fmt.Sprintf(b.Scenario, "without="+string(b.Without)))
-			if strings.Contains(with, b.Sees) {
+			without := run(t, fmt.Sprintf(b.Scenario, "without="+string(b.Disabled)))
+			if strings.Contains(with, b.Violation) {
 				t.Errorf("with the safeguard: %s", with)
 			}
-			if !strings.Contains(without, b.Sees) {
-				t.Errorf("no %s without the safeguard: %s", b.Sees, without)
+			if !strings.Contains(without, b.Violation) {
+				t.Errorf("no %s without the safeguard: %s", b.Violation, without)
 			}
 		})
 	}
@@ -51,15 +51,15 @@
 	return out
 }
 
-// The page of faults is what the matrix, the pairs and the safeguards' scenarios
-// give. A cell that is not met shows here, and no cell is left out.
+// The generated fault page must be up to date, complete and without a cell that
+// has not passed.
 func TestFaultPage(t *testing.T) {
 	page, err := model.FaultPage()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(page, "NOT MET") {
-		t.Error("a cell is not met")
+		t.Error("a cell has not passed")
 	}
 	golden.File(t, "../../../docs/FAULTS.md", page)
 }
--- a/internal/standin/model/oracle.go
+++ b/internal/standin/model/oracle.go
@@ -7,113 +7,117 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// drainGrace is how long after the start of a drain new work may still come.
+// drainGrace is how long after the start of a drain openings may still arrive.
 const drainGrace = 3 * clock.Second
 
-// Verdict is the judgement over a run. The fields are counts.
+// Verdict is the result of a run. The fields are counts.
 type Verdict struct {
 	Flows   int
 	Opened  int
 	Refused int
-	// Unopened flows were tried in vain, Broken ones fell silent.
+	// Unopened flows got no answer before the handshake timeout, Broken ones
+	// were open and are no longer answered.
 	Unopened int
 	Broken   int
 	// Doubled flows were opened at two targets.
 	Doubled int
 	// Stray datagrams reached an upstream that does not know the flow.
-	Stray      int
+	Stray int
+	// RanRefused flows were refused although an upstream was delivered a
+	// datagram of them.
 	RanRefused int
 	// Foreign datagrams reached a target of another service.
 	Foreign int
-	// Late openings reached a target too long after its drain began.
+	// Late openings reached a target more than drainGrace after its drain began.
 	Late int
 }
 
-// Oracle is what callers and upstreams saw.
+// Oracle records what callers and upstreams observed.
 type Oracle struct {
-	flows map[uint64]*seen
-	// told are the flows whose callers got a refusal.
-	told map[uint64]*seen
-	// Dropped counts by reason, for explanations only.
+	flows map[uint64]*flowRecord
+	// refusedFlows are the flows whose callers received a refusal.
+	refusedFlows map[uint64]*flowRecord
+	// Dropped counts dropped datagrams by reason, for debugging only.
 	Dropped map[owner.Reason]int
 	Verdict Verdict
 }
 
-// seen is the record of one flow that has not ended.
-type seen struct {
-	openers []*Target
-	handed  bool
-	// judged flows were refused and handed on, and are counted.
-	judged bool
+// flowRecord is the record of one flow that has not ended.
+type flowRecord struct {
+	openers   []*Target
+	delivered bool
+	// counted flows are included in RanRefused.
+	counted bool
 }
 
 func (o *Oracle) init() {
-	o.flows = map[uint64]*seen{}
-	o.told = map[uint64]*seen{}
+	o.flows = map[uint64]*flowRecord{}
+	o.refusedFlows = map[uint64]*flowRecord{}
 	o.Dropped = map[owner.Reason]int{}
 }
 
-func (o *Oracle) flow(n uint64) *seen {
+func (o *Oracle) record(n uint64) *flowRecord {
 	s := o.flows[n]
 	if s == nil {
-		s = &seen{}
+		s = &flowRecord{}
 		o.flows[n] = s
 	}
 	return s
 }
 
-// refused notes that a refusal is sent. None may be for a flow that an upstream
-// was handed, whether it arrives or not.
-func (o *Oracle) refused(d *datagram) {
-	s := o.flow(d.flow)
-	if s.handed {
-		o.ranRefused(s)
+// recordRefusalSent records that a refusal is sent. No flow of which an upstream
+// was delivered a datagram may be refused, whether or not the refusal arrives.
+func (o *Oracle) recordRefusalSent(d *datagram) {
+	s := o.record(d.flow)
+	if s.delivered {
+		o.countRanRefused(s)
 	}
 }
 
-// tell notes that a caller got a refusal: it believes that nothing ran. A
-// refusal that is lost tells nobody, and the caller's next copy may be served.
-func (o *Oracle) tell(flow uint64) {
-	s := o.flow(flow)
-	o.told[flow] = s
-	if s.handed {
-		o.ranRefused(s)
+// recordRefusalReceived records that a caller received a refusal, which means that
+// nothing ran. After a refusal that is lost, the caller's next copy may be
+// served.
+func (o *Oracle) recordRefusalReceived(flow uint64) {
+	s := o.record(flow)
+	o.refusedFlows[flow] = s
+	if s.delivered {
+		o.countRanRefused(s)
 	}
 }
 
-func (o *Oracle) ranRefused(s *seen) {
-	if s.judged {
+func (o *Oracle) countRanRefused(s *flowRecord) {
+	if s.counted {
 		return
 	}
-	s.judged = true
+	s.counted = true
 	o.Verdict.RanRefused++
 }
 
-// handed notes that an upstream was handed a datagram.
-func (o *Oracle) handed(t *Target, d *datagram) {
-	if s := o.told[d.flow]; s != nil {
-		o.ranRefused(s)
+// recordDelivery records that a datagram was delivered to an upstream.
+func (o *Oracle) recordDelivery(t *Target, d *datagram) {
+	if s := o.refusedFlows[d.flow]; s != nil {
+		o.countRanRefused(s)
 	}
-	if d.over() {
+	if d.callerEnded() {
 		return
 	}
 	if t.service != service {
 		o.Verdict.Foreign++
 	}
-	s := o.flow(d.flow)
-	s.handed = true
+	s := o.record(d.flow)
+	s.delivered = true
 	if !d.opening {
-		if !t.knows(d.flow) {
+		if !t.hasConnection(d.flow) {
 			o.Verdict.Stray++
 		}
 		return
 	}
-	// What a dead target began is gone with it.
-	s.openers = slices.DeleteFunc(s.openers, func(o *Target) bool { return o.lost })
+	// What a dead target had opened is lost with its upstream.
+	s.openers = slices.DeleteFunc(s.openers, func(o *Target) bool { return o.upstreamLost })
 	if slices.Contains(s.openers, t) {
 		return
 	}
-	if t.drained != 0 && t.world.Now()-t.drained > drainGrace {
+	if t.drainingSince != 0 && t.world.Now()-t.drainingSince > drainGrace {
 		o.Verdict.Late++
 	}
 	s.openers = append(s.openers, t)
@@ -122,19 +126,19 @@
 	}
 }
 
-// forget ends the record of a flow, at its upstreams too.
-func (o *Oracle) forget(flow uint64) {
+// endFlow removes the record of a flow, and its connection at its upstreams.
+func (o *Oracle) endFlow(flow uint64) {
 	if s := o.flows[flow]; s != nil {
 		for _, t := range s.openers {
-			delete(t.upstream, flow)
+			delete(t.connections, flow)
 		}
 	}
 	delete(o.flows, flow)
 }
 
-// inherit makes the successor of an agent the same target for the oracle: its
-// upstream is.
-func (o *Oracle) inherit(old, next *Target) {
+// replaceTarget makes the successor of an agent the same target for the oracle,
+// because the upstream is the same.
+func (o *Oracle) replaceTarget(old, next *Target) {
 	for _, s := range o.flows {
 		for i, t := range s.openers {
 			if t == old {
@@ -144,8 +148,9 @@
 	}
 }
 
-// lost reports that a flow's only target is gone together with its upstream.
-func (o *Oracle) lost(flow uint64) bool {
+// targetsLost reports whether all targets that opened a flow are gone together
+// with their upstreams.
+func (o *Oracle) targetsLost(flow uint64) bool {
 	s := o.flows[flow]
-	return s != nil && !slices.ContainsFunc(s.openers, func(t *Target) bool { return !t.lost })
+	return s != nil && !slices.ContainsFunc(s.openers, func(t *Target) bool { return !t.upstreamLost })
 }
--- a/internal/standin/model/scenario_test.go
+++ b/internal/standin/model/scenario_test.go
@@ -7,8 +7,8 @@
 	"github.com/wagtailtray/wagtailtray/internal/standin/model"
 )
 
-// Each archive tells a failure in its comment, makes it happen in a scenario
-// and has what the two ends saw.
+// Each archive describes a fault in its comment, injects it in a scenario and has
+// the expected verdict.
 func TestScenarios(t *testing.T) {
 	golden.Run(t, "testdata", func(t *testing.T, a *golden.Archive) string {
 		out, err := model.RunScript(a.File("scenario"))
--- a/internal/standin/model/script.go
+++ b/internal/standin/model/script.go
@@ -12,29 +12,29 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// ErrScript is in the chain of every error about a scenario's text.
+// ErrScript is wrapped by every error about a scenario's text.
 var ErrScript = errs.New("model: scenario")
 
-// Script runs scenarios written as text, one command a line:
+// Script runs scenarios written as text, one command per line:
 //
 //	world targets=3 balancers=2 seed=1 delay=3ms loss=0.01 spread=2s
 //	open 10          # ten callers open flows that stay open
-//	run 2s           # let time pass
+//	run 2s           # advance the clock
 //	drain t1         # also: undrain, suspect, trust, shed, unshed, pause, wake
-//	kill t1 1500ms   # dead, and suspected after that time
-//	restart t1 100ms # planned restart of the agent; the gap between the two
-//	replace t1 100ms # another VM with an upstream that knows nothing
-//	usurp t1 1500ms  # an agent of another service at its address
-//	forgetpaths t1   # the present paths to t1 are dead, new ones work
+//	kill t1 1500ms   # crash, suspected after that time
+//	restart t1 100ms # planned restart of the agent, down for that time
+//	replace t1 100ms # replacement on another VM with an empty upstream
+//	usurp t1 1500ms  # crash; an agent of another service gets its address
+//	forgetpaths t1   # the current paths to t1 lose their state, new ones work
 //	add t9           # a new target
-//	balancer join    # also: leave, forget, deaf
-//	apart t1         # the failure domain of t1 and a balancer is cut off
-//	together t1      # no more
-//	cut t1           # nothing reaches t1; cut all, cut none
-//	resend           # every open caller sends its opening datagram again
-//	move 3           # three callers get a new address
+//	balancer join    # also: leave, forget (drop hints), deaf (no updates)
+//	apart t1         # partition the failure domain of t1 and a balancer
+//	together t1      # end the partition
+//	cut t1           # drop all datagrams to t1; cut all, cut none
+//	resend           # every caller that has not ended sends its opening again
+//	move 3           # the first three callers get a new address
 //	end              # all callers end their flows
-//	verdict          # print what the two ends saw
+//	verdict          # print what callers and upstreams observed
 //
 // A line that starts with # is a comment.
 type Script struct {
@@ -52,16 +52,16 @@
 		if len(words) == 0 {
 			continue
 		}
-		if err := s.command(words); err != nil {
+		if err := s.run(words); err != nil {
 			return "", fmt.Errorf("%w: line %d: %w", ErrScript, n+1, err)
 		}
 	}
 	return s.out.String(), nil
 }
 
-func (s *Script) command(words []string) error {
+func (s *Script) run(words []string) error {
 	if words[0] == "world" {
-		o, err := options(words[1:])
+		o, err := parseOptions(words[1:])
 		if err != nil {
 			return err
 		}
@@ -69,23 +69,23 @@
 		return nil
 	}
 	if s.world == nil {
-		return errs.New("the first command is world")
+		return errs.New("the first command must be world")
 	}
 	if len(words) == 1 {
-		return s.plain(words[0])
+		return s.runSimple(words[0])
 	}
-	return s.with(words[0], words[1], words[2:])
+	return s.runWithArgument(words[0], words[1], words[2:])
 }
 
-// plain runs a command without arguments.
-func (s *Script) plain(command string) error {
+// runSimple runs a command without arguments.
+func (s *Script) runSimple(command string) error {
 	switch command {
 	case "verdict":
 		fmt.Fprintln(&s.out, s.world.Verdict().String())
 	case "resend":
 		for _, c := range s.callers {
 			if !c.Ended {
-				c.Resend()
+				c.SendOpening()
 			}
 		}
 	case "end":
@@ -93,35 +93,35 @@
 			c.End()
 		}
 	default:
-		return errs.New("no command %q without arguments", command)
+		return errs.New("unknown command %q without arguments", command)
 	}
 	return nil
 }
 
-// with runs a command with arguments.
-func (s *Script) with(command, argument string, rest []string) error {
+// runWithArgument runs a command with arguments.
+func (s *Script) runWithArgument(command, argument string, rest []string) error {
 	switch command {
 	case "open", "move":
-		return s.many(command, argument)
+		return s.runForCallers(command, argument)
 	case "run":
-		d, err := millis(argument)
+		d, err := parseMillis(argument)
 		if err == nil {
 			s.world.Run(d)
 		}
 		return err
 	case "balancer":
-		return s.balancer(argument)
+		return s.runBalancer(argument)
 	case "add":
 		s.world.Add(argument)
 		return nil
 	case "cut":
-		return s.cut(argument)
+		return s.runCut(argument)
 	default:
-		return s.target(command, argument, rest)
+		return s.runForTarget(command, argument, rest)
 	}
 }
 
-func (s *Script) many(command, argument string) error {
+func (s *Script) runForCallers(command, argument string) error {
 	n, err := strconv.Atoi(argument)
 	if err != nil {
 		return errs.Wrap(err)
@@ -130,18 +130,18 @@
 		if command == "open" {
 			s.callers = append(s.callers, s.world.Open(0))
 		} else if i < len(s.callers) && !s.callers[i].Ended {
-			s.callers[i].Move()
+			s.callers[i].ChangeAddress()
 		}
 	}
 	return nil
 }
 
-func (s *Script) balancer(what string) error {
-	switch what {
+func (s *Script) runBalancer(action string) error {
+	switch action {
 	case "join":
 		s.world.AddBalancer()
 	case "deaf":
-		s.world.Balancers[0].Deaf = true
+		s.world.Balancers[0].UpdatesBlocked = true
 	case "leave":
 		for _, b := range s.world.Balancers {
 			if !b.Dead {
@@ -151,18 +151,18 @@
 		}
 	case "forget":
 		for _, b := range s.world.Balancers {
-			b.Forget()
+			b.DropHints()
 		}
 	default:
-		return errs.New("balancer %q: want join, leave, forget or deaf", what)
+		return errs.New("balancer %q: want join, leave, forget or deaf", action)
 	}
 	return nil
 }
 
-func (s *Script) target(command, name string, rest []string) error {
-	t := s.world.find(name)
+func (s *Script) runForTarget(command, name string, rest []string) error {
+	t := s.world.findTarget(name)
 	if t == nil {
-		return errs.New("no target %q", name)
+		return errs.New("unknown target %q", name)
 	}
 	switch command {
 	case "drain", "undrain":
@@ -173,27 +173,27 @@
 		t.Shedding = command == "shed"
 	case "apart":
 		if len(s.world.Balancers) == 0 {
-			return errs.New("apart %s: there is no balancer to cut off with it", name)
+			return errs.New("apart %s: the world has no balancer to partition with it", name)
 		}
-		s.world.Apart(name)
+		s.world.Partition(name)
 	case "together":
-		s.world.Together()
+		s.world.Heal()
 	case "forgetpaths":
-		s.world.ForgetPaths(name)
+		s.world.DropPathState(name)
 	case "pause", "wake":
 		t.Paused = command == "pause"
 	default:
-		return s.timed(command, name, rest)
+		return s.runWithDuration(command, name, rest)
 	}
 	return nil
 }
 
-// timed runs a command that takes a time.
-func (s *Script) timed(command, name string, rest []string) error {
+// runWithDuration runs a command that takes a duration.
+func (s *Script) runWithDuration(command, name string, rest []string) error {
 	if len(rest) != 1 {
-		return errs.New("%s %s: want a time", command, name)
+		return errs.New("%s %s: want one duration", command, name)
 	}
-	d, err := millis(rest[0])
+	d, err := parseMillis(rest[0])
 	if err != nil {
 		return err
 	}
@@ -205,20 +205,20 @@
 	case "replace":
 		s.world.Replace(name, d)
 	case "usurp":
-		s.world.Usurp(name, d)
+		s.world.ReuseAddress(name, d)
 	default:
-		return errs.New("no command %q", command)
+		return errs.New("unknown command %q", command)
 	}
 	return nil
 }
 
-func millis(s string) (clock.Millis, error) {
+func parseMillis(s string) (clock.Millis, error) {
 	d, err := time.ParseDuration(s)
 	return clock.Of(d), errs.Wrap(err)
 }
 
-// options reads the sizes of a world.
-func options(words []string) (Options, error) {
+// parseOptions parses the options of a world.
+func parseOptions(words []string) (Options, error) {
 	o := Options{Seed: 1, Targets: 3, Balancers: 2}
 	for _, word := range words {
 		name, value, _ := strings.Cut(word, "=")
@@ -230,11 +230,11 @@
 }
 
 func (o *Options) set(name, value string) error {
-	numbers := map[string]*int{"targets": &o.Targets, "balancers": &o.Balancers, "flows": &o.Flows}
+	numbers := map[string]*int{"targets": &o.Targets, "balancers": &o.Balancers, "flows": &o.MaxFlows}
 	shares := map[string]*float64{"loss": &o.Loss, "duplicate": &o.Duplicate}
 	times := map[string]*clock.Millis{
-		"delay": &o.Delay, "jitter": &o.Jitter, "spread": &o.Spread, "digest": &o.Digest,
-		"resend": &o.Resend, "idle": &o.Idle, "ramp": &o.Ramp,
+		"delay": &o.Delay, "jitter": &o.Jitter, "spread": &o.MaxPropagationDelay, "digest": &o.DigestInterval,
+		"resend": &o.ResendWindow, "idle": &o.IdleTimeout, "ramp": &o.RampTime,
 	}
 	var err error
 	switch {
@@ -243,20 +243,20 @@
 	case shares[name] != nil:
 		*shares[name], err = strconv.ParseFloat(value, 64)
 	case times[name] != nil:
-		*times[name], err = millis(value)
+		*times[name], err = parseMillis(value)
 	case name == "seed":
 		o.Seed, err = strconv.ParseUint(value, 10, 64)
 	case name == "lie":
-		o.Lie = value == "yes"
+		o.FalseReports = value == "yes"
 	case name == "without":
-		o.Without = Safeguard(value)
+		o.Disabled = Safeguard(value)
 	default:
-		err = errs.New("no such option")
+		err = errs.New("unknown option")
 	}
 	return errs.Wrap(err)
 }
 
-// String gives the counts that are not zero.
+// String formats the counts that are not zero.
 func (v Verdict) String() string {
 	parts := []string{}
 	for _, f := range []struct {
@@ -281,19 +281,19 @@
 	return strings.Join(parts, ", ")
 }
 
-// cut keeps datagrams from reaching a target, or all of them.
-func (s *Script) cut(name string) error {
+// runCut drops the datagrams to one target or to all of them.
+func (s *Script) runCut(name string) error {
 	if name == "none" {
 		s.world.Cut = nil
 		return nil
 	}
 	if name == "all" {
-		s.world.Cut = func(_, to netip.AddrPort) bool { return s.world.at(to) != nil }
+		s.world.Cut = func(_, to netip.AddrPort) bool { return s.world.agentAt(to) != nil }
 		return nil
 	}
-	t := s.world.find(name)
+	t := s.world.findTarget(name)
 	if t == nil {
-		return errs.New("no target %q", name)
+		return errs.New("unknown target %q", name)
 	}
 	s.world.Cut = func(_, to netip.AddrPort) bool { return to == t.tunnel }
 	return nil
--- a/internal/standin/model/target.go
+++ b/internal/standin/model/target.go
@@ -12,81 +12,83 @@
 
 const fullWarmth = 1000
 
-// Target is one target: its agent's decisions and its upstream.
+// Target is a simulated target: its agent and its upstream.
 type Target struct {
-	world       *World
-	Name        string
-	ID          target.ID
-	Incarnation uint32
-	service     uint32
-	tunnel      netip.AddrPort
-	table       *owner.Table
-	loads       *owner.Loads
-	trust       *owner.Trust
-	observer    *owner.Observer
-	roster      roster
-	view        *owner.View
-	sequence    uint64
-	changes     uint64
-	started     clock.Millis
-	// drained is when the present drain began; 0 when there is none.
-	drained  clock.Millis
-	draining bool
-	// joining targets have not been there for long and open no flows yet.
+	world          *World
+	Name           string
+	ID             target.ID
+	Incarnation    uint32
+	service        uint32
+	tunnel         netip.AddrPort
+	table          *owner.Table
+	loads          *owner.Loads
+	estimator      *owner.Trust
+	observer       *owner.Observer
+	roster         roster
+	view           *owner.View
+	digestSequence uint64
+	stateSequence  uint64
+	startedAt      clock.Millis
+	// drainingSince is when the current drain began; 0 if there is none.
+	drainingSince clock.Millis
+	draining      bool
+	// joining targets have started recently and open no flows yet.
 	joining   bool
 	suspected bool
-	// Shedding makes the upstream report that it takes no new flows.
+	// Shedding makes the upstream report that it accepts no new flows.
 	Shedding bool
-	// Paused agents take nothing; what arrives is lost, as in a full buffer.
+	// Paused agents receive nothing; what arrives is lost, as with a full
+	// socket buffer.
 	Paused   bool
 	Dead     bool
 	stopped  bool
-	inherits bool
-	// lost targets are gone together with their upstream.
-	lost bool
-	// upstream is its connections, by the callers' flow numbers.
-	upstream map[uint64]netip.AddrPort
-	// links is the flows that have a link, by caller.
-	links    map[netip.AddrPort]*owner.Flow
-	reported report
+	tookOver bool
+	// upstreamLost targets are gone together with their upstream.
+	upstreamLost bool
+	// connections holds the upstream's open connections: callers by flow
+	// number.
+	connections map[uint64]netip.AddrPort
+	// flowsByCaller holds the flows that have a link.
+	flowsByCaller map[netip.AddrPort]*owner.Flow
+	lastReport    loadReport
 }
 
-// report is what the upstream said last.
-type report struct {
-	connections int
-	number      uint64
+// loadReport is the upstream's last load report.
+type loadReport struct {
+	connections       int
+	lastOpeningNumber uint64
 }
 
-// link is the local socket of a flow.
-type link struct {
+// fakeLink stands for the local socket of a flow.
+type fakeLink struct {
 	port uint16
 }
 
-func (l *link) Send([]byte) error { return nil }
-func (l *link) Port() uint16      { return l.port }
-func (l *link) Close()            {}
+func (l *fakeLink) Send([]byte) error { return nil }
+func (l *fakeLink) Port() uint16      { return l.port }
+func (l *fakeLink) Close()            {}
 
-// Dial opens a flow's link.
+// Dial returns a flow's link.
 func (t *Target) Dial(f *owner.Flow, port uint16) (owner.Link, error) {
-	t.links[f.Caller] = f
+	t.flowsByCaller[f.Caller] = f
 	if port == 0 {
 		port = uint16(t.world.random.Uint32())
 	}
-	return &link{port: port}, nil
+	return &fakeLink{port: port}, nil
 }
 
 func (w *World) newTarget(name string, host uint16, incarnation uint32) *Target {
 	t := &Target{
 		world: w, Name: name, ID: target.IDOf(name), Incarnation: incarnation, roster: roster{}, service: service,
-		tunnel:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(host >> 8), byte(host)}), 1),
-		started: w.Now(), upstream: map[uint64]netip.AddrPort{}, links: map[netip.AddrPort]*owner.Flow{},
+		tunnel:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 2, byte(host >> 8), byte(host)}), 1),
+		startedAt: w.Now(), connections: map[uint64]netip.AddrPort{}, flowsByCaller: map[netip.AddrPort]*owner.Flow{},
 	}
-	t.loads = owner.NewLoads(4 * w.Options.Digest)
+	t.loads = owner.NewLoads(4 * w.Options.DigestInterval)
 	t.table = owner.NewTable(owner.Limits{
-		Flows: w.Options.Flows, Memory: 1 << 15, Idle: w.Options.Idle, Opening: handshake,
+		Flows: w.Options.MaxFlows, Memory: 1 << 15, Idle: w.Options.IdleTimeout, Opening: handshakeTimeout,
 	}, t.loads)
 	t.observer = owner.NewObserver(t.ID)
-	t.trust = owner.NewTrust(w.Options.Idle)
+	t.estimator = owner.NewTrust(w.Options.IdleTimeout)
 	return t
 }
 
@@ -96,130 +98,131 @@
 
 func (t *Target) candidate() target.Candidate {
 	return target.Candidate{
-		ID: t.ID, Name: t.Name, Incarnation: t.Incarnation, Sequence: t.changes, Tunnel: t.tunnel,
+		ID: t.ID, Name: t.Name, Incarnation: t.Incarnation, Sequence: t.stateSequence, Tunnel: t.tunnel,
 		Draining: t.draining || t.joining || t.stopped, Suspected: t.suspected,
 	}
 }
 
-// learn takes the truth as it is at the target's start.
-func (t *Target) learn(news map[target.ID]target.Candidate, now clock.Millis) {
-	for _, c := range news {
+// loadRoster adds the given targets to the roster.
+func (t *Target) loadRoster(published map[target.ID]target.Candidate, now clock.Millis) {
+	for _, c := range published {
 		if c.ID != t.ID {
-			t.roster.hear(known{Candidate: c})
+			t.roster.apply(knownTarget{Candidate: c})
 		}
 	}
-	t.rebuild(now)
+	t.rebuildView(now)
 }
 
-func (t *Target) hear(k known) {
-	t.roster.hear(k)
-	t.rebuild(t.world.Now())
+func (t *Target) applyUpdate(k knownTarget) {
+	t.roster.apply(k)
+	t.rebuildView(t.world.Now())
 }
 
-func (t *Target) rebuild(now clock.Millis) {
-	t.roster[t.ID] = known{Candidate: t.candidate()}
-	t.view = t.observer.View(now, t.roster.set(t.service), t.Incarnation, t.world.Options.Resend)
-	if t.world.Options.Without == Search {
+func (t *Target) rebuildView(now clock.Millis) {
+	t.roster[t.ID] = knownTarget{Candidate: t.candidate()}
+	t.view = t.observer.View(now, t.roster.set(t.service), t.Incarnation, t.world.Options.ResendWindow)
+	if t.world.Options.Disabled == Search {
 		t.view.Window = -1
 	}
 }
 
-// own is what the agent knows of its target.
-func (t *Target) own() owner.Own {
-	since := int(t.table.LastNumber() - t.reported.number)
+// localState is what the agent knows about its target.
+func (t *Target) localState() owner.Own {
+	since := int(t.table.LastNumber() - t.lastReport.lastOpeningNumber)
 	o := owner.Own{
-		Flows:     t.trust.Flows(t.world.Now(), t.table.Len(), t.reported.connections, since, t.table.Active()),
+		Flows:     t.estimator.Flows(t.world.Now(), t.table.Len(), t.lastReport.connections, since, t.table.Active()),
 		Accepting: !t.draining && !t.joining && !t.Shedding, Warmth: t.warmth(),
 	}
-	if t.world.Options.Without == Draining {
+	if t.world.Options.Disabled == Draining {
 		o.Accepting = true
 	}
 	return o
 }
 
 func (t *Target) warmth() uint32 {
-	age, ramp := t.world.Now()-t.started, t.world.Options.Ramp
-	if ramp <= 0 || age >= ramp || t.inherits {
+	age, ramp := t.world.Now()-t.startedAt, t.world.Options.RampTime
+	if ramp <= 0 || age >= ramp || t.tookOver {
 		return fullWarmth
 	}
 	return uint32(age * fullWarmth / ramp)
 }
 
-// take does what an agent does with an envelope.
-func (t *Target) take(e *wire.Envelope, via netip.AddrPort, d *datagram) {
+// handleEnvelope executes the agent's decision about an envelope.
+func (t *Target) handleEnvelope(e *wire.Envelope, via netip.AddrPort, d *datagram) {
 	w := t.world
 	if t.Paused {
 		return
 	}
-	t.weaken(e)
+	t.disableSafeguard(e)
 	arrival := owner.Arrival{Now: w.Now(), Envelope: e, Via: via, Random: w.random.Float64()}
 	stage := e.Stage
-	decision := t.table.Take(arrival, t.view, t.own(), t)
+	decision := t.table.Take(arrival, t.view, t.localState(), t)
 	if w.Trace != nil {
-		w.Trace(Hop{At: w.Now(), Target: t.Name, Flow: d.flow, Stage: stage, Decision: decision, Next: e.Stage})
+		w.Trace(TraceEvent{At: w.Now(), Target: t.Name, Flow: d.flow, Stage: stage, Decision: decision, NextStage: e.Stage})
 	}
 	switch decision.Action {
 	case owner.Pass:
-		w.tunnel(t.tunnel, decision.To.Tunnel, e, via, d)
+		w.sendEnvelope(t.tunnel, decision.To.Tunnel, e, via, d)
 	case owner.Refuse:
-		w.Oracle.refused(d)
+		w.Oracle.recordRefusalSent(d)
 		w.reply(t.tunnel, via, d.replyTo, d, true)
 	case owner.Deliver:
 		if e.Ask {
-			t.hint(via, decision.Flow.Caller)
+			t.sendHint(via, decision.Flow.Caller)
 		}
 		if s := decision.Searcher; s != nil {
-			t.found(s, decision.Flow.Caller)
+			t.notifySearcher(s, decision.Flow.Caller)
 		}
-		t.hand(decision.Flow, d)
+		t.deliver(decision.Flow, d)
 	case owner.Drop:
 		w.Oracle.Dropped[decision.Reason]++
 	}
 }
 
-// weaken takes a safeguard away, for the tests of the checks themselves.
-func (t *Target) weaken(e *wire.Envelope) {
-	without := t.world.Options.Without
+// disableSafeguard modifies an envelope so that a disabled safeguard has no
+// effect, for the tests of the checks themselves.
+func (t *Target) disableSafeguard(e *wire.Envelope) {
+	without := t.world.Options.Disabled
 	switch {
 	case without == Incarnation:
 		e.Service, e.Target, e.Incarnation = t.service, t.ID, t.Incarnation
-	case without == HomeDecides && e.Stage == wire.Stage_STAGE_OPEN:
+	case without == HomePlacement && e.Stage == wire.Stage_STAGE_OPEN:
 		e.Stage = wire.Stage_STAGE_PLACED
 		e.Home = t.ID
-	case without == Identifiers:
+	case without == ConnectionIDs:
 		e.Payload = nil
 	}
 }
 
-func (t *Target) hint(via, caller netip.AddrPort) {
+func (t *Target) sendHint(via, caller netip.AddrPort) {
 	t.world.send(t.tunnel, via, func() {
 		if b := t.world.balancerAt(via); b != nil {
-			b.confirm(caller, t.ID, t.Incarnation)
+			b.handleHint(caller, t.ID, t.Incarnation)
 		}
 	})
 }
 
-func (t *Target) found(searcher *target.Candidate, caller netip.AddrPort) {
+func (t *Target) notifySearcher(searcher *target.Candidate, caller netip.AddrPort) {
 	w := t.world
 	w.send(t.tunnel, searcher.Tunnel, func() {
-		if h := w.at(searcher.Tunnel); h != nil && h.Incarnation == searcher.Incarnation {
+		if h := w.agentAt(searcher.Tunnel); h != nil && h.Incarnation == searcher.Incarnation {
 			h.table.Found(w.Now(), caller, t.ID)
 		}
 	})
 }
 
-// hand gives a datagram to the upstream and brings its answer back.
-func (t *Target) hand(f *owner.Flow, d *datagram) {
+// deliver delivers a datagram to the upstream and returns its answer to the caller.
+func (t *Target) deliver(f *owner.Flow, d *datagram) {
 	w := t.world
-	w.Oracle.handed(t, d)
-	if d.opening && !d.over() {
-		t.upstream[d.flow] = f.Caller
+	w.Oracle.recordDelivery(t, d)
+	if d.opening && !d.callerEnded() {
+		t.connections[d.flow] = f.Caller
 	}
-	if !t.knows(d.flow) {
-		// The upstream does not know the connection and says nothing.
+	if !t.hasConnection(d.flow) {
+		// The upstream does not know the connection and does not answer.
 		return
 	}
-	answer := []byte{shortForm}
+	answer := []byte{shortHeader}
 	if d.opening {
 		answer = firstAnswer(d.flow)
 	}
@@ -230,7 +233,7 @@
 	w.reply(t.tunnel, reply.Via, f.Caller, d, false)
 }
 
-// reply brings an answer to a caller through a balancer.
+// reply sends an answer or a refusal to a caller through a balancer.
 func (w *World) reply(from, via, caller netip.AddrPort, d *datagram, refused bool) {
 	w.send(from, via, func() {
 		if w.balancerAt(via) == nil {
@@ -244,55 +247,55 @@
 	})
 }
 
-// tellLoad sends the target's digest to its peers.
-func (t *Target) tellLoad() bool {
+// sendDigests sends the target's digest to its peers.
+func (t *Target) sendDigests() bool {
 	if !t.running() || t.Paused {
 		return t.running()
 	}
 	w := t.world
-	t.reported = report{connections: len(t.upstream), number: t.table.LastNumber()}
-	if w.Options.Lie && t.tunnel.Addr().As4()[3]%2 == 1 {
-		t.reported.connections = 0
+	t.lastReport = loadReport{connections: len(t.connections), lastOpeningNumber: t.table.LastNumber()}
+	if w.Options.FalseReports && t.tunnel.Addr().As4()[3]%2 == 1 {
+		t.lastReport.connections = 0
 	}
-	t.trust.Report(w.Now(), t.table.Len(), t.reported.connections, t.table.EndedFlows())
-	t.sequence++
-	own := t.own()
+	t.estimator.Report(w.Now(), t.table.Len(), t.lastReport.connections, t.table.EndedFlows())
+	t.digestSequence++
+	local := t.localState()
 	d := &wire.Digest{
-		Sequence: t.sequence, Flows: uint32(own.Flows), Warmth: own.Warmth, Accepting: own.Accepting,
+		Sequence: t.digestSequence, Flows: uint32(local.Flows), Warmth: local.Warmth, Accepting: local.Accepting,
 		Sender: t.ID, Incarnation: t.Incarnation,
 	}
 	for i := range t.view.Set.Targets {
 		peer := &t.view.Set.Targets[i]
 		if peer.ID != t.ID {
-			w.send(t.tunnel, peer.Tunnel, func() { w.digest(peer, d) })
+			w.send(t.tunnel, peer.Tunnel, func() { w.deliverDigest(peer, d) })
 		}
 	}
 	return true
 }
 
-func (w *World) digest(to *target.Candidate, d *wire.Digest) {
-	if p := w.at(to.Tunnel); p != nil && p.ID == to.ID && p.Incarnation == to.Incarnation {
+func (w *World) deliverDigest(to *target.Candidate, d *wire.Digest) {
+	if p := w.agentAt(to.Tunnel); p != nil && p.ID == to.ID && p.Incarnation == to.Incarnation {
 		p.loads.Note(w.Now(), d.Sender, d.Incarnation, d)
 	}
 }
 
-// sweep ends the flows that are over and tells their homes.
-func (t *Target) sweep() bool {
+// expireFlows removes expired flows and notifies their homes.
+func (t *Target) expireFlows() bool {
 	w := t.world
 	if !t.running() {
 		return false
 	}
-	if w.Options.Quiet {
+	if w.Options.NoRequests {
 		t.keepAlive()
 	}
 	for _, f := range t.table.Expire(w.Now(), false) {
-		delete(t.links, f.Caller)
+		delete(t.flowsByCaller, f.Caller)
 		home, ok := t.view.Set.Find(f.Home)
 		if !ok || home.ID == t.ID {
 			continue
 		}
 		w.send(t.tunnel, home.Tunnel, func() {
-			if h := w.at(home.Tunnel); h != nil {
+			if h := w.agentAt(home.Tunnel); h != nil {
 				h.table.Ended(f.Caller, t.ID)
 			}
 		})
@@ -300,55 +303,55 @@
 	return true
 }
 
-// knows reports that the upstream has the flow's connection.
-func (t *Target) knows(flow uint64) bool {
-	_, ok := t.upstream[flow]
+// hasConnection reports whether the upstream has the flow's connection.
+func (t *Target) hasConnection(flow uint64) bool {
+	_, ok := t.connections[flow]
 	return ok
 }
 
-// keepAlive lets the open flows of a quiet world be heard of, as their own
-// protocol's keep-alives do.
+// keepAlive records an answer on each open flow, in place of the keep-alives of
+// the callers' protocol.
 func (t *Target) keepAlive() {
-	for _, caller := range t.upstream {
-		if f := t.links[caller]; f != nil {
-			t.table.Answer(t.world.Now(), f, []byte{shortForm})
+	for _, caller := range t.connections {
+		if f := t.flowsByCaller[caller]; f != nil {
+			t.table.Answer(t.world.Now(), f, []byte{shortHeader})
 		}
 	}
 }
 
-// datagram is what a caller sent.
+// datagram is one datagram of a caller.
 type datagram struct {
 	flow    uint64
 	opening bool
-	// replyTo is the address that the caller had.
+	// replyTo is the caller's address when it sent the datagram.
 	replyTo netip.AddrPort
 	caller  *Caller
 }
 
-// over tells that the caller has ended: an upstream that is handed a late copy
-// opens nothing that lasts.
-func (d *datagram) over() bool {
+// callerEnded reports whether the caller has ended the flow. A late copy of an
+// opening then leaves no open connection at the upstream.
+func (d *datagram) callerEnded() bool {
 	return d.caller.Ended
 }
 
-// The model's datagrams look like QUIC's where the decisions look at them,
-// with the flow's number as connection identifier.
+// The model's datagrams have the QUIC fields that the agent inspects, with the
+// flow's number as connection ID.
 const (
-	longForm  = 0x80
-	shortForm = 0x40
-	idSize    = 8
+	longHeader       = 0x80
+	shortHeader      = 0x40
+	connectionIDSize = 8
 )
 
-func (d *datagram) bytes() []byte {
+func (d *datagram) payload() []byte {
 	if d.opening {
-		return []byte{longForm}
+		return []byte{longHeader}
 	}
-	return binary.BigEndian.AppendUint64([]byte{shortForm}, d.flow)
+	return binary.BigEndian.AppendUint64([]byte{shortHeader}, d.flow)
 }
 
-// firstAnswer is an upstream's answer to an opening: a long header that names
-// the connection identifier it chose.
+// firstAnswer returns an upstream's answer to an opening: a long header with the
+// source connection ID that the upstream chose.
 func firstAnswer(flow uint64) []byte {
-	b := []byte{longForm, 0, 0, 0, 1, 0, idSize}
+	b := []byte{longHeader, 0, 0, 0, 1, 0, connectionIDSize}
 	return binary.BigEndian.AppendUint64(b, flow)
 }
