--- a/cmd/wagtailtray/script_test.go
+++ b/cmd/wagtailtray/script_test.go
@@ -42,7 +42,7 @@
 	case "down":
 		server.SetFaults(platform.Faults{Down: true})
 	case "lose":
-		server.SetFaults(platform.Faults{LoseAnswers: 1})
+		server.SetFaults(platform.Faults{LostResponses: 1})
 	default:
 		server.SetFaults(platform.Faults{})
 	}
--- a/internal/capacity/approvals.go
+++ b/internal/capacity/approvals.go
@@ -41,7 +41,7 @@
 		{Name: "one relay of each failure domain is dead", Relays: true},
 		{Name: "5 % of the calls between balancers fail", Lost: 0.05},
 		{Name: "both", Relays: true, Lost: 0.05},
-		{Name: "every answer of the platform takes 500 ms", Platform: standin.Faults{SlowMillis: 500}},
+		{Name: "every answer of the platform takes 500 ms", Platform: standin.Faults{DelayMillis: 500}},
 		{Name: "the platform goes down for 2 s after each approval", Outage: true},
 		{Name: "every balancer is replaced at once after each approval", Replaced: true},
 	}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -1,6 +1,6 @@
-// Package platform stands in for the platform's object service in tests and
-// trials: versions, conditional updates and watches over HTTP, kept in memory,
-// with faults that can be switched on.
+// Package platform is an in-memory fake of the platform's object service for tests
+// and trials: versions, conditional updates and watches over HTTP, with fault
+// injection.
 //
 // # Usage
 //
@@ -22,28 +22,28 @@
 )
 
 const (
-	prefix = "/apis/wagtailtray/v1/"
-	// maxValue is the largest object that the service takes, in bytes.
-	maxValue = 1 << 20
-	// kept is how many events a watch can go back.
-	kept = 1024
-	// watchQueue bounds the events that wait for a slow watcher. Beyond it
-	// the watch ends and the watcher lists again.
-	watchQueue = 256
+	apiPath = "/apis/wagtailtray/v1/"
+	// maxObjectSize is the largest object that the service accepts, in bytes.
+	maxObjectSize = 1 << 20
+	// maxLoggedEvents is how many past events a watch can start from.
+	maxLoggedEvents = 1024
+	// maxQueuedEvents bounds the events queued for a slow watcher. When the queue
+	// is full the watch ends and the watcher has to list again.
+	maxQueuedEvents = 256
 )
 
-// Faults are what the stand-in does wrong.
+// Faults are the faults that the server injects.
 type Faults struct {
-	// Down answers 503 to every call and ends the watches.
+	// Down makes every call return 503 and ends the watches.
 	Down bool `json:"down"`
-	// SlowMillis delays every answer.
-	SlowMillis int `json:"slow"`
-	// LoseAnswers is the number of writes that take effect and whose
-	// connection is then cut.
-	LoseAnswers int `json:"lose"`
+	// DelayMillis delays every response.
+	DelayMillis int `json:"slow"`
+	// LostResponses is the number of writes that take effect but whose
+	// connection is then closed without a response.
+	LostResponses int `json:"lose"`
 }
 
-// Calls counts calls by what they were.
+// Calls counts calls by type.
 type Calls struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
@@ -56,28 +56,28 @@
 	events chan platform.Event
 }
 
-type logged struct {
+type loggedEvent struct {
 	kind  platform.Kind
 	event platform.Event
 }
 
-// Server is the stand-in.
+// Server is a fake object service.
 type Server struct {
-	mu       sync.Mutex
-	version  uint64
-	objects  map[platform.Kind]map[string]platform.Object
-	log      []logged
-	watchers map[*watcher]bool
-	faults   Faults
-	calls    Calls
+	mu          sync.Mutex
+	lastVersion uint64
+	objects     map[platform.Kind]map[string]platform.Object
+	eventLog    []loggedEvent
+	watchers    map[*watcher]bool
+	faults      Faults
+	calls       Calls
 }
 
-// NewServer returns an empty service.
+// NewServer returns a server without objects.
 func NewServer() *Server {
 	return &Server{objects: map[platform.Kind]map[string]platform.Object{}, watchers: map[*watcher]bool{}}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,54 +99,54 @@
 	return c
 }
 
-// ServeHTTP serves the object API, and under /faults and /calls the controls
-// of the stand-in itself.
+// ServeHTTP serves the object API, and under /faults and /calls the control API of
+// the fake.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/faults":
-		s.control(w, r)
+		s.handleFaults(w, r)
 	case r.URL.Path == "/calls":
-		reply(w, http.StatusOK, s.Calls())
-	case strings.HasPrefix(r.URL.Path, prefix):
-		s.api(w, r)
+		writeJSON(w, http.StatusOK, s.Calls())
+	case strings.HasPrefix(r.URL.Path, apiPath):
+		s.handleAPI(w, r)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-func (s *Server) control(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.SetFaults(f)
-	reply(w, http.StatusOK, f)
+	writeJSON(w, http.StatusOK, f)
 }
 
-func (s *Server) api(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleAPI(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
-	time.Sleep(time.Duration(f.SlowMillis) * time.Millisecond)
+	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 	if f.Down {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, prefix), "/")
+	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, apiPath), "/")
 	switch r.Method {
 	case http.MethodGet:
-		s.get(w, r, platform.Kind(kind), name)
+		s.handleGet(w, r, platform.Kind(kind), name)
 	case http.MethodPost, http.MethodPut, http.MethodDelete:
-		s.change(w, r, platform.Kind(kind), name)
+		s.handleWrite(w, r, platform.Kind(kind), name)
 	default:
 		http.Error(w, "method", http.StatusMethodNotAllowed)
 	}
 }
 
-func (s *Server) get(w http.ResponseWriter, r *http.Request, kind platform.Kind, name string) {
+func (s *Server) handleGet(w http.ResponseWriter, r *http.Request, kind platform.Kind, name string) {
 	if r.URL.Query().Get("watch") != "" {
-		s.watch(w, r, kind)
+		s.handleWatch(w, r, kind)
 		return
 	}
 	s.mu.Lock()
@@ -156,16 +156,16 @@
 	s.mu.Unlock()
 	switch {
 	case name == "":
-		reply(w, http.StatusOK, list)
+		writeJSON(w, http.StatusOK, list)
 	case !ok:
 		http.Error(w, "not found", http.StatusNotFound)
 	default:
-		reply(w, http.StatusOK, o)
+		writeJSON(w, http.StatusOK, o)
 	}
 }
 
 func (s *Server) list(kind platform.Kind) platform.List {
-	l := platform.List{Metadata: platform.Metadata{ResourceVersion: s.version}}
+	l := platform.List{Metadata: platform.Metadata{ResourceVersion: s.lastVersion}}
 	for _, o := range s.objects[kind] {
 		l.Items = append(l.Items, o)
 	}
@@ -175,9 +175,9 @@
 	return l
 }
 
-func (s *Server) change(w http.ResponseWriter, r *http.Request, kind platform.Kind, name string) {
+func (s *Server) handleWrite(w http.ResponseWriter, r *http.Request, kind platform.Kind, name string) {
 	var o platform.Object
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxValue)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxObjectSize)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -187,20 +187,20 @@
 	s.mu.Lock()
 	s.calls.Writes++
 	out, status := s.apply(r.Method, kind, name, o)
-	lose := status < http.StatusBadRequest && s.faults.LoseAnswers > 0
+	lose := status < http.StatusBadRequest && s.faults.LostResponses > 0
 	if lose {
-		s.faults.LoseAnswers--
+		s.faults.LostResponses--
 	}
 	s.mu.Unlock()
 	if lose {
-		// The connection ends without an answer, after the write.
+		// Closes the connection after the write, without a response.
 		panic(http.ErrAbortHandler)
 	}
 	if status >= http.StatusBadRequest {
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	reply(w, status, out)
+	writeJSON(w, status, out)
 }
 
 func (s *Server) apply(method string, kind platform.Kind, name string, o platform.Object) (platform.Object, int) {
@@ -221,8 +221,8 @@
 	case method == http.MethodDelete:
 		event = platform.Deleted
 	}
-	s.version++
-	o.Metadata = platform.Metadata{Name: name, ResourceVersion: s.version}
+	s.lastVersion++
+	o.Metadata = platform.Metadata{Name: name, ResourceVersion: s.lastVersion}
 	s.store(kind, o, event)
 	return o, status
 }
@@ -237,18 +237,18 @@
 		s.objects[kind][o.Metadata.Name] = o
 	}
 	e := platform.Event{Type: event, Object: o}
-	s.log = append(s.log, logged{kind: kind, event: e})
-	if len(s.log) > kept {
-		s.log = s.log[1:]
+	s.eventLog = append(s.eventLog, loggedEvent{kind: kind, event: e})
+	if len(s.eventLog) > maxLoggedEvents {
+		s.eventLog = s.eventLog[1:]
 	}
 	for w := range s.watchers {
 		if w.kind == kind {
-			s.offer(w, e)
+			s.sendEvent(w, e)
 		}
 	}
 }
 
-func (s *Server) offer(w *watcher, e platform.Event) {
+func (s *Server) sendEvent(w *watcher, e platform.Event) {
 	select {
 	case w.events <- e:
 	default:
@@ -257,18 +257,18 @@
 	}
 }
 
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, kind platform.Kind) {
+func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request, kind platform.Kind) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("resourceVersion"), 10, 64)
 	if err != nil {
 		http.Error(w, "resourceVersion: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	me, backlog, ok := s.subscribe(kind, after)
+	subscriber, backlog, ok := s.subscribe(kind, after)
 	if !ok {
 		http.Error(w, "too old", http.StatusGone)
 		return
 	}
-	defer s.unsubscribe(me)
+	defer s.unsubscribe(subscriber)
 	w.WriteHeader(http.StatusOK)
 	flusher := w.(http.Flusher)
 	encoder := json.NewEncoder(w)
@@ -278,7 +278,7 @@
 	flusher.Flush()
 	for {
 		select {
-		case e, ok := <-me.events:
+		case e, ok := <-subscriber.events:
 			if !ok || encoder.Encode(e) != nil {
 				return
 			}
@@ -293,16 +293,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls.Watches++
-	if len(s.log) == kept && s.log[0].event.Object.Metadata.ResourceVersion > after+1 {
+	if len(s.eventLog) == maxLoggedEvents && s.eventLog[0].event.Object.Metadata.ResourceVersion > after+1 {
 		return nil, nil, false
 	}
 	var backlog []platform.Event
-	for _, l := range s.log {
+	for _, l := range s.eventLog {
 		if l.kind == kind && l.event.Object.Metadata.ResourceVersion > after {
 			backlog = append(backlog, l.event)
 		}
 	}
-	w := &watcher{kind: kind, events: make(chan platform.Event, watchQueue)}
+	w := &watcher{kind: kind, events: make(chan platform.Event, maxQueuedEvents)}
 	s.watchers[w] = true
 	return w, backlog, true
 }
@@ -313,7 +313,7 @@
 	delete(s.watchers, w)
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/internal/version/approval/approval_test.go
+++ b/internal/version/approval/approval_test.go
@@ -46,7 +46,7 @@
 func TestLostAnswers(t *testing.T) {
 	for lost := range 3 {
 		server, client, plan := setup(t)
-		server.SetFaults(standin.Faults{LoseAnswers: lost})
+		server.SetFaults(standin.Faults{LostResponses: lost})
 		for range 3 {
 			state, err := approval.Commit(t.Context(), client, plan)
 			if err != nil && !errors.Is(err, approval.ErrOpen) {
