--- a/internal/standin/timeline/timeline.go
+++ b/internal/standin/timeline/timeline.go
@@ -1,14 +1,14 @@
-// Package timeline is the time of a model: a settable clock with things that
-// happen at later times, in order.
+// Package timeline provides a virtual clock with an event queue for discrete-event
+// simulations.
 //
 // # Usage
 //
 //	var t timeline.Timeline
 //	t.After(3*clock.Second, func() { ... })
-//	t.Every(clock.Second, func() bool { return goOn })
+//	t.Every(clock.Second, func() bool { return again })
 //	t.Run(clock.Minute)
 //
-// A Timeline is not safe for concurrent use; nothing in it waits.
+// A Timeline is not safe for concurrent use, and no method blocks.
 package timeline
 
 import (
@@ -17,49 +17,50 @@
 	"github.com/wagtailtray/wagtailtray/pkg/clock"
 )
 
-// Timeline is the time of one model. The zero value starts at zero.
+// Timeline is a virtual clock with its pending events. The zero value starts at
+// time zero.
 type Timeline struct {
-	clock  clock.Manual
-	events events
-	order  uint64
+	clock        clock.Manual
+	events       events
+	lastSequence uint64
 }
 
-// Now returns the time.
+// Now returns the virtual time.
 func (t *Timeline) Now() clock.Millis {
 	return t.clock.Now()
 }
 
-// After lets something happen later. What is due at one time happens in the
-// order in which it was asked for.
-func (t *Timeline) After(d clock.Millis, do func()) {
-	t.order++
-	heap.Push(&t.events, event{at: t.Now() + d, order: t.order, do: do})
+// After schedules a call after d. Calls that are due at the same time run in the
+// order in which they were scheduled.
+func (t *Timeline) After(d clock.Millis, fn func()) {
+	t.lastSequence++
+	heap.Push(&t.events, event{at: t.Now() + d, sequence: t.lastSequence, fn: fn})
 }
 
-// Every lets something happen again and again, until it reports false.
-func (t *Timeline) Every(d clock.Millis, do func() bool) {
+// Every schedules a call at each interval d until the call returns false.
+func (t *Timeline) Every(d clock.Millis, fn func() bool) {
 	t.After(d, func() {
-		if do() {
-			t.Every(d, do)
+		if fn() {
+			t.Every(d, fn)
 		}
 	})
 }
 
-// Run lets time pass.
+// Run advances the clock by d and runs the events that become due.
 func (t *Timeline) Run(d clock.Millis) {
 	end := t.Now() + d
 	for len(t.events) > 0 && t.events[0].at <= end {
 		e := heap.Pop(&t.events).(event)
 		t.clock.Add(e.at - t.Now())
-		e.do()
+		e.fn()
 	}
 	t.clock.Add(end - t.Now())
 }
 
 type event struct {
-	at    clock.Millis
-	order uint64
-	do    func()
+	at       clock.Millis
+	sequence uint64
+	fn       func()
 }
 
 type events []event
@@ -70,7 +71,7 @@
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
