--- a/cmd/standin/caller.go
+++ b/cmd/standin/caller.go
@@ -34,12 +34,12 @@
 	var all sync.WaitGroup
 	for n := range c.Sessions {
 		plan := caller.Plan{
-			Service: c.Service, Address: c.Address, Local: c.Local, Length: c.For / 2, Pause: 200 * time.Millisecond,
+			Service: c.Service, Address: c.Address, Local: c.Local, Duration: c.For / 2, RevisionDelay: 200 * time.Millisecond,
 		}
 		if n%2 == 0 {
-			plan.Every, plan.Ticks = 100, int(c.For/2/(100*time.Millisecond))
+			plan.FeedIntervalMillis, plan.FeedTicks = 100, int(c.For/2/(100*time.Millisecond))
 		}
-		all.Go(func() { _ = caller.Session(ctx, plan, oracle) })
+		all.Go(func() { _ = caller.RunSession(ctx, plan, oracle) })
 		time.Sleep(c.For / 2 / time.Duration(c.Sessions))
 	}
 	all.Wait()
--- a/cmd/standin/upstream.go
+++ b/cmd/standin/upstream.go
@@ -26,8 +26,8 @@
 		return err
 	}
 	u, err := upstream.Start(upstream.Settings{
-		Name: c.Name, Service: c.Service, Address: c.Listen, Load: c.Load, Slots: c.Slots,
-		ColdStart: c.ColdStart, LoadLag: c.LoadLag, Lie: c.Lie,
+		Name: c.Name, Service: c.Service, Address: c.Listen, LoadAddress: c.Load, Slots: c.Slots,
+		ColdStart: c.ColdStart, LoadDelay: c.LoadLag, FalseReports: c.Lie,
 	}, exchange.NewOracle())
 	if err != nil {
 		return err
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,9 +1,9 @@
-// Package caller stands in for callers: QUIC sessions that send revisions,
-// watch feeds and fetch downloads, and report what they saw.
+// Package caller is a test caller: it runs QUIC sessions that send revisions, read
+// feeds and downloads, and report the outcomes.
 //
 // # Usage
 //
-//	err := caller.Session(ctx, caller.Plan{...}, oracle)
+//	err := caller.RunSession(ctx, caller.Plan{...}, oracle)
 package caller
 
 import (
@@ -24,56 +24,57 @@
 )
 
 const (
-	// handshakeLimit is how long a caller tries to open a session.
-	handshakeLimit = 10 * time.Second
-	idle           = 20 * time.Second
-	keepAlive      = 2 * time.Second
-	// answerLimit is how long a caller waits for an answer beyond the time
-	// that the answer takes by itself.
-	answerLimit = 15 * time.Second
+	// handshakeTimeout is how long a caller tries to open a session.
+	handshakeTimeout  = 10 * time.Second
+	idleTimeout       = 20 * time.Second
+	keepAliveInterval = 2 * time.Second
+	// answerTimeout is how long a caller waits for an answer, in addition to the
+	// duration of a feed.
+	answerTimeout = 15 * time.Second
 )
 
-// ErrRefused means that the session was refused before anything ran.
-var ErrRefused = errs.New("caller: refused")
+// ErrRefused is returned for a session that was refused before any request ran.
+var ErrRefused = errs.New("caller: session refused")
 
-// EarlyError is the error of a session that ended before its time. Its caller's address is
-// the one towards the network.
-type EarlyError struct {
+// SessionError is the error of a session that ended early. Caller is the session's
+// local address, which the network may translate.
+type SessionError struct {
 	Session uint64
 	Caller  netip.AddrPort
 	Err     error
 }
 
-// Error names the session.
-func (e *EarlyError) Error() string {
+// Error returns a message that names the session.
+func (e *SessionError) Error() string {
 	return fmt.Sprintf("caller: session %d from %s: %v", e.Session, e.Caller, e.Err)
 }
 
-// Unwrap returns why the session ended.
-func (e *EarlyError) Unwrap() error {
+// Unwrap returns the cause.
+func (e *SessionError) Unwrap() error {
 	return e.Err
 }
 
-// Plan is what one session does.
+// Plan configures a session.
 type Plan struct {
 	Service string
 	Address netip.AddrPort
-	// Local is the address the caller sends from.
+	// Local is the address that the caller sends from.
 	Local netip.Addr
-	// Length is how long the session stays open, Pause the time between
-	// its revisions.
-	Length time.Duration
-	Pause  time.Duration
-	// Ticks of a feed that runs beside the revisions; 0 for none. Bytes of
-	// a download at the start; 0 for none.
-	Ticks, Every int
-	Bytes        int
+	// Duration is how long the session stays open, RevisionDelay the time
+	// from the answer to a revision to the next one.
+	Duration      time.Duration
+	RevisionDelay time.Duration
+	// FeedTicks is the number of ticks of a feed that is read concurrently with
+	// the revisions; 0 for none. DownloadBytes is the size of a download that
+	// precedes the feed; 0 for none.
+	FeedTicks, FeedIntervalMillis int
+	DownloadBytes                 int
 }
 
-// Session runs one session to its end. The error is for the log: the oracle
-// has been told.
-func Session(ctx context.Context, p Plan, o *exchange.Oracle) error {
-	id := o.Session()
+// RunSession runs a session to its end. The error is for the log only: the outcome
+// is already recorded in the oracle.
+func RunSession(ctx context.Context, p Plan, o *exchange.Oracle) error {
+	id := o.StartSession()
 	packet, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(p.Local, 0)))
 	if err != nil {
 		return errs.Wrap(err)
@@ -81,33 +82,33 @@
 	defer func() { _ = packet.Close() }()
 	transport := &quic.Transport{Conn: packet}
 	defer func() { _ = transport.Close() }()
-	c, err := open(ctx, transport, p)
+	c, err := dial(ctx, transport, p)
 	if errors.Is(err, ErrRefused) {
-		o.Refused(id)
+		o.RecordRefused(id)
 	}
-	early := &EarlyError{Session: id, Caller: packet.LocalAddr().(*net.UDPAddr).AddrPort(), Err: err}
+	sessionErr := &SessionError{Session: id, Caller: packet.LocalAddr().(*net.UDPAddr).AddrPort(), Err: err}
 	if err != nil {
-		return early
+		return sessionErr
 	}
-	o.Opened()
+	o.RecordOpened()
 	s := &session{id: id, conn: c, plan: p, oracle: o}
 	err = s.run(ctx)
 	_ = c.CloseWithError(0, "done")
 	if err != nil && ctx.Err() == nil {
-		o.Broken(id)
+		o.RecordBroken(id)
 	}
 	if err == nil {
 		return nil
 	}
-	early.Err = err
-	return early
+	sessionErr.Err = err
+	return sessionErr
 }
 
-func open(ctx context.Context, t *quic.Transport, p Plan) (*quic.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, handshakeLimit)
+func dial(ctx context.Context, t *quic.Transport, p Plan) (*quic.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	config := &quic.Config{
-		HandshakeIdleTimeout: handshakeLimit, MaxIdleTimeout: idle, KeepAlivePeriod: keepAlive,
+		HandshakeIdleTimeout: handshakeTimeout, MaxIdleTimeout: idleTimeout, KeepAlivePeriod: keepAliveInterval,
 	}
 	c, err := t.Dial(ctx, net.UDPAddrFromAddrPort(p.Address), exchange.ClientTLS(), config)
 	var refused *quic.TransportError
@@ -124,57 +125,58 @@
 	oracle *exchange.Oracle
 }
 
-// run sends revisions until the session's time is over, beside a feed.
+// run sends revisions until the session's duration has passed, concurrently with
+// the download and the feed.
 func (s *session) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	side := make(chan error, 1)
-	go func() { side <- s.beside(ctx) }()
-	end := time.Now().Add(s.plan.Length)
+	background := make(chan error, 1)
+	go func() { background <- s.runBackground(ctx) }()
+	end := time.Now().Add(s.plan.Duration)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		if err := s.request(ctx, exchange.Request{Op: exchange.Revision}); err != nil {
+		if err := s.doRequest(ctx, exchange.Request{Op: exchange.Revision}); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(s.plan.Pause):
+		case <-time.After(s.plan.RevisionDelay):
 		}
 	}
-	return <-side
+	return <-background
 }
 
-func (s *session) beside(ctx context.Context) error {
-	if s.plan.Bytes > 0 {
-		if err := s.request(ctx, exchange.Request{Op: exchange.Download, Size: s.plan.Bytes}); err != nil {
+func (s *session) runBackground(ctx context.Context) error {
+	if s.plan.DownloadBytes > 0 {
+		if err := s.doRequest(ctx, exchange.Request{Op: exchange.Download, Size: s.plan.DownloadBytes}); err != nil {
 			return err
 		}
 	}
-	if s.plan.Ticks > 0 {
-		return s.request(ctx, exchange.Request{Op: exchange.Feed, Size: s.plan.Ticks, Every: s.plan.Every})
+	if s.plan.FeedTicks > 0 {
+		return s.doRequest(ctx, exchange.Request{Op: exchange.Feed, Size: s.plan.FeedTicks, Every: s.plan.FeedIntervalMillis})
 	}
 	return nil
 }
 
-// request sends one request and judges its answer. A request that the end of
-// the run cuts off is not judged.
-func (s *session) request(ctx context.Context, r exchange.Request) error {
-	r.ID = s.oracle.Request(s.id)
+// doRequest sends a request and records the outcome. A request that is canceled by
+// the end of the run is not recorded.
+func (s *session) doRequest(ctx context.Context, r exchange.Request) error {
+	r.ID = s.oracle.StartRequest(s.id)
 	r.Service = s.plan.Service
-	limit := answerLimit + time.Duration(r.Size*r.Every)*time.Millisecond
-	answer, err := s.send(ctx, &r, limit)
+	limit := answerTimeout + time.Duration(r.Size*r.Every)*time.Millisecond
+	answer, err := s.roundTrip(ctx, &r, limit)
 	if ctx.Err() == nil {
-		s.oracle.Seen(judge(&r, answer, err))
+		s.oracle.RecordOutcome(classify(&r, answer, err))
 		return err
 	}
 	return nil
 }
 
-func (s *session) send(ctx context.Context, r *exchange.Request, limit time.Duration) (*received, error) {
+func (s *session) roundTrip(ctx context.Context, r *exchange.Request, limit time.Duration) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	stream, err := s.conn.OpenStreamSync(ctx)
 	if err != nil {
-		return &received{}, errs.Wrap(err)
+		return &response{}, errs.Wrap(err)
 	}
 	deadline, _ := ctx.Deadline()
 	_ = stream.SetDeadline(deadline)
@@ -182,47 +184,47 @@
 	defer stop()
 	line, err := json.Marshal(r)
 	if err != nil {
-		return &received{}, errs.Wrap(err)
+		return &response{}, errs.Wrap(err)
 	}
 	if _, err := stream.Write(append(line, '\n')); err != nil {
-		return &received{}, errs.Wrap(err)
+		return &response{}, errs.Wrap(err)
 	}
 	_ = stream.Close()
-	return read(stream)
+	return readResponse(stream)
 }
 
-// received is an answer as it arrived.
-type received struct {
+// response is the received part of an answer.
+type response struct {
 	bytes   int
 	ticks   int
 	trailer *exchange.Trailer
 }
 
-func read(from io.Reader) (*received, error) {
-	a := &received{}
+func readResponse(from io.Reader) (*response, error) {
+	r := &response{}
 	lines := bufio.NewReader(from)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
-			return a, nil
+			return r, nil
 		}
 		if err != nil {
-			return a, errs.Wrap(err)
+			return r, errs.Wrap(err)
 		}
 		if line[0] == '{' {
 			var t exchange.Trailer
 			if err := json.Unmarshal(line, &t); err != nil {
-				return a, errs.Wrap(err)
+				return r, errs.Wrap(err)
 			}
-			a.trailer = &t
+			r.trailer = &t
 			continue
 		}
-		a.ticks++
-		a.bytes += len(line)
+		r.ticks++
+		r.bytes += len(line)
 	}
 }
 
-func judge(r *exchange.Request, a *received, err error) exchange.Outcome {
+func classify(r *exchange.Request, a *response, err error) exchange.Outcome {
 	if a.trailer == nil {
 		if err != nil && a.bytes == 0 {
 			return exchange.Lost
@@ -235,5 +237,5 @@
 	if r.Op == exchange.Feed && a.ticks != r.Size || r.Op == exchange.Download && a.bytes < r.Size {
 		return exchange.Partial
 	}
-	return exchange.Whole
+	return exchange.Complete
 }
--- a/internal/standin/exchange/exchange.go
+++ b/internal/standin/exchange/exchange.go
@@ -1,16 +1,16 @@
-// Package exchange is the small application protocol that the caller and the
-// upstream stand-ins speak over QUIC streams, and the record of what both ends
-// saw.
+// Package exchange defines the application protocol that the test callers and
+// upstreams speak over QUIC streams, and the oracle that records what both ends
+// observed.
 //
 // # The model
 //
 // A caller opens a stream, writes one Request as a line of JSON and reads the
 // answer until the stream ends. A revision must run at most once; a feed sends
-// numbered ticks; a download sends a stated number of bytes. The last line of
-// an answer is a Trailer that names the request again, so an answer that is
-// cut or belongs to another request is seen.
+// ticks; a download sends a stated number of bytes. The last line of an answer is a
+// Trailer that repeats the request's ID, so that an answer that is truncated or
+// belongs to another request is detected.
 //
-// The Oracle is told by both ends what happened and judges from that alone.
+// Both ends report to the Oracle, whose verdict depends on these reports alone.
 //
 // # Usage
 //
@@ -23,7 +23,7 @@
 	"sync"
 )
 
-// Op is what a request asks for.
+// Op is the operation of a request.
 type Op string
 
 // Operations.
@@ -33,7 +33,7 @@
 	Download Op = "download"
 )
 
-// Protocol is the name that both ends agree on in the handshake.
+// Protocol is the ALPN protocol name.
 const Protocol = "wagtailtray-standin"
 
 // Request is the first line of a stream.
@@ -53,22 +53,22 @@
 	Size int    `json:"size"`
 }
 
-// Outcome is what a caller saw of one request.
+// Outcome is the outcome of a request as observed by the caller.
 type Outcome int
 
 // Outcomes.
 const (
-	// Whole means that the whole answer to this very request came.
-	Whole Outcome = iota
-	// Crossed means that an answer to another request came.
+	// Complete means that the complete answer to the request arrived.
+	Complete Outcome = iota
+	// Crossed means that an answer to another request arrived.
 	Crossed
-	// Partial means that an answer began and did not end.
+	// Partial means that an answer began to arrive and did not end.
 	Partial
-	// Lost means that no answer came on a session that was open.
+	// Lost means that no answer arrived on an open session.
 	Lost
 )
 
-// Verdict is the judgement over a run. The fields are counts.
+// Verdict is the result of a run. The fields are counts.
 type Verdict struct {
 	Flows      int
 	Opened     int
@@ -84,82 +84,82 @@
 	Late       int
 }
 
-// Oracle collects what callers and upstreams saw.
+// Oracle records what callers and upstreams observed.
 type Oracle struct {
-	mu      sync.Mutex
-	next    uint64
-	runs    map[uint64]int
-	session map[uint64]uint64
-	refused map[uint64]bool
-	verdict Verdict
-	// died are the targets that were killed without warning.
-	died map[string]bool
-	// served is the target that a session's requests ran at.
-	served map[uint64]string
-}
-
-// NewOracle returns an empty record.
+	mu              sync.Mutex
+	lastID          uint64
+	runCounts       map[uint64]int
+	sessionOf       map[uint64]uint64
+	refusedSessions map[uint64]bool
+	verdict         Verdict
+	// crashed are the targets that were killed without a drain.
+	crashed map[string]bool
+	// servedBy is the target that ran a session's requests last.
+	servedBy map[uint64]string
+}
+
+// NewOracle returns an oracle without records.
 func NewOracle() *Oracle {
 	return &Oracle{
-		runs: map[uint64]int{}, session: map[uint64]uint64{}, refused: map[uint64]bool{},
-		died: map[string]bool{}, served: map[uint64]string{},
+		runCounts: map[uint64]int{}, sessionOf: map[uint64]uint64{}, refusedSessions: map[uint64]bool{},
+		crashed: map[string]bool{}, servedBy: map[uint64]string{},
 	}
 }
 
-// Session starts the record of one session.
-func (o *Oracle) Session() uint64 {
+// StartSession starts the record of a session and returns its ID.
+func (o *Oracle) StartSession() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.next++
+	o.lastID++
 	o.verdict.Flows++
-	return o.next
+	return o.lastID
 }
 
-// Opened notes that a session's handshake ended well.
-func (o *Oracle) Opened() {
+// RecordOpened records that a session's handshake has completed.
+func (o *Oracle) RecordOpened() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.verdict.Opened++
 }
 
-// Refused notes that a session was refused: none of its requests may run.
-func (o *Oracle) Refused(session uint64) {
+// RecordRefused records that a session was refused: none of its requests may run.
+func (o *Oracle) RecordRefused(session uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.verdict.Refused++
-	o.refused[session] = true
+	o.refusedSessions[session] = true
 }
 
-// Broken notes that an open session ended with an error. It is a broken
-// promise unless its target was killed without warning.
-func (o *Oracle) Broken(session uint64) {
+// RecordBroken records that an open session ended with an error. This violates the
+// guarantees unless its target crashed.
+func (o *Oracle) RecordBroken(session uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.verdict.Broken++
-	if !o.died[o.served[session]] {
+	if !o.crashed[o.servedBy[session]] {
 		o.verdict.Planned++
 	}
 }
 
-// Died notes that a target was killed without warning.
-func (o *Oracle) Died(target string) {
+// RecordCrash records that a target was killed without a drain.
+func (o *Oracle) RecordCrash(target string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.died[target] = true
+	o.crashed[target] = true
 }
 
-// Request starts the record of one request.
-func (o *Oracle) Request(session uint64) uint64 {
+// StartRequest starts the record of a request and returns its ID.
+func (o *Oracle) StartRequest(session uint64) uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.next++
+	o.lastID++
 	o.verdict.Requests++
-	o.session[o.next] = session
-	return o.next
+	o.sessionOf[o.lastID] = session
+	return o.lastID
 }
 
-// Seen notes what a caller saw of a request.
-func (o *Oracle) Seen(outcome Outcome) {
+// RecordOutcome records the outcome of a request at the caller.
+func (o *Oracle) RecordOutcome(outcome Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch outcome {
@@ -172,53 +172,55 @@
 	}
 }
 
-// Ran notes that a target of a service ran a request.
-func (o *Oracle) Ran(r *Request, service, target string) {
+// RecordRun records that a target of a service ran a request.
+func (o *Oracle) RecordRun(r *Request, service, target string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.runs[r.ID]++
-	session := o.session[r.ID]
+	o.runCounts[r.ID]++
+	session := o.sessionOf[r.ID]
 	if r.Service != service {
 		o.verdict.Crossed++
 	}
-	if was, ok := o.served[session]; ok && was != target {
-		// One session served by two targets: its state is at the first.
+	if previous, ok := o.servedBy[session]; ok && previous != target {
+		// Two targets served one session, whose state is at the first.
 		o.verdict.Crossed++
 	}
-	o.served[session] = target
+	o.servedBy[session] = target
 }
 
-// Served returns the target that a session's requests ran at; none ran where it is empty.
-func (o *Oracle) Served(session uint64) string {
+// ServedBy returns the target that ran a session's requests last, or an empty string
+// if none ran.
+func (o *Oracle) ServedBy(session uint64) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.served[session]
+	return o.servedBy[session]
 }
 
-// Late notes that a target got new work too long after its drain began.
-func (o *Oracle) Late() {
+// RecordLateOpening records that a target got a connection too long after its drain
+// began.
+func (o *Oracle) RecordLateOpening() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.verdict.Late++
 }
 
-// Verdict judges the run so far.
+// Verdict returns the result of the run so far.
 func (o *Oracle) Verdict() Verdict {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.verdict
-	for id, n := range o.runs {
-		if n > 1 {
+	for id, runs := range o.runCounts {
+		if runs > 1 {
 			v.Doubled++
 		}
-		if o.refused[o.session[id]] {
+		if o.refusedSessions[o.sessionOf[id]] {
 			v.RanRefused++
 		}
 	}
 	return v
 }
 
-// Kept reports whether every promise held.
-func (v *Verdict) Kept() bool {
+// Passed reports whether all guarantees held.
+func (v *Verdict) Passed() bool {
 	return v.Crossed+v.Doubled+v.Lost+v.Partial+v.RanRefused+v.Planned+v.Late == 0
 }
--- a/internal/standin/exchange/tls.go
+++ b/internal/standin/exchange/tls.go
@@ -11,7 +11,7 @@
 	"github.com/zeebo/errs"
 )
 
-// ServerTLS returns settings with a certificate made for this run.
+// ServerTLS returns a configuration with a new self-signed certificate.
 func ServerTLS() (*tls.Config, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -30,8 +30,8 @@
 	}, nil
 }
 
-// ClientTLS returns settings that take any certificate: the stand-ins test
-// the balancer, not the upstreams' identity.
+// ClientTLS returns a configuration that accepts any certificate, because the tests
+// cover the load balancer and not the identity of upstreams.
 func ClientTLS() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{Protocol}, InsecureSkipVerify: true}
 }
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -1,13 +1,13 @@
-// Package fabric stands in for the network before the balancers: it takes
-// callers' datagrams at a service's address and hands each to a balancer drawn
-// at random, with delay, loss, duplication and reordering.
+// Package fabric emulates the network in front of the balancers: it receives
+// callers' datagrams at a service's address and forwards each to a random balancer,
+// with delay, loss, duplication and reordering.
 //
 // # The model
 //
-// A caller is given a socket of its own towards the balancers, so that each
-// balancer sees a distinct caller and any of them can answer it. This also is
-// the address translator in front of the system: Rebind gives every caller a
-// new socket, as a translator does that forgot its flows.
+// Each caller gets its own socket towards the balancers, so that a balancer sees
+// distinct callers and any balancer can answer them. The fabric thus also acts as a
+// NAT: Rebind gives every caller a new socket, as a NAT does that lost its
+// mappings.
 //
 // # Usage
 //
@@ -28,24 +28,25 @@
 )
 
 const (
-	maxDatagram = 2048
-	// maxCallers bounds the sockets of one service. Beyond it a new
-	// caller's datagrams are dropped.
-	maxCallers = 16384
-	buffer     = 4 << 20
+	maxDatagramSize = 2048
+	// maxCallers bounds the sockets of a service. When it is reached, the
+	// datagrams of new callers are dropped.
+	maxCallers     = 16384
+	readBufferSize = 4 << 20
 )
 
-// Faults are what the network does to datagrams, in each direction.
+// Faults are the faults that the network injects, in each direction.
 type Faults struct {
 	Delay time.Duration
-	// Jitter is added to the delay, evenly from zero; it reorders.
+	// Jitter is the upper bound of a uniformly distributed additional delay,
+	// which reorders datagrams.
 	Jitter time.Duration
-	// Loss and Duplicate are shares of all datagrams.
+	// Loss and Duplicate are fractions of all datagrams.
 	Loss      float64
 	Duplicate float64
 }
 
-// Fabric is the network of one deployment.
+// Fabric is the emulated network of one deployment.
 type Fabric struct {
 	mu        sync.Mutex
 	faults    Faults
@@ -68,27 +69,27 @@
 	return &Fabric{faults: f, random: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// SetBalancers replaces the addresses that datagrams are sprayed over.
+// SetBalancers replaces the addresses of the balancers.
 func (f *Fabric) SetBalancers(edges []netip.Addr) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.balancers = edges
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (f *Fabric) SetFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// Listen takes the datagrams of one service's address.
+// Listen receives datagrams at a service's address.
 func (f *Fabric) Listen(address netip.AddrPort) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return errs.Wrap(err)
 	}
-	_ = conn.SetReadBuffer(buffer)
+	_ = conn.SetReadBuffer(readBufferSize)
 	s := &service{fabric: f, conn: conn, port: address.Port(), callers: map[netip.AddrPort]*net.UDPConn{}}
 	f.mu.Lock()
 	f.services = append(f.services, s)
@@ -97,31 +98,33 @@
 	return nil
 }
 
-// Rebind forgets every caller: its next datagram comes from a new address.
+// Rebind closes the sockets of all callers: the next datagram of each is sent from a
+// new address.
 func (f *Fabric) Rebind() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.services {
-		s.forget()
+		s.closeCallers()
 	}
 }
 
-// Seen returns the address that balancers see for a caller of a service's port.
-func (f *Fabric) Seen(port uint16, caller netip.AddrPort) (netip.AddrPort, bool) {
+// MappedAddress returns the address that balancers see for a caller of the service
+// at the given port.
+func (f *Fabric) MappedAddress(port uint16, caller netip.AddrPort) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.services {
 		if s.port != port {
 			continue
 		}
-		if seen, ok := s.seen(caller); ok {
-			return seen, true
+		if mapped, ok := s.mappedAddress(caller); ok {
+			return mapped, true
 		}
 	}
 	return netip.AddrPort{}, false
 }
 
-func (s *service) seen(caller netip.AddrPort) (netip.AddrPort, bool) {
+func (s *service) mappedAddress(caller netip.AddrPort) (netip.AddrPort, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, ok := s.callers[caller]
@@ -131,18 +134,18 @@
 	return c.LocalAddr().(*net.UDPAddr).AddrPort(), true
 }
 
-// Close ends the fabric.
+// Close closes all sockets.
 func (f *Fabric) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
 	for _, s := range f.services {
 		_ = s.conn.Close()
-		s.forget()
+		s.closeCallers()
 	}
 }
 
-func (s *service) forget() {
+func (s *service) closeCallers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for caller, c := range s.callers {
@@ -151,8 +154,9 @@
 	}
 }
 
-// fate is what becomes of one datagram: a delay for each copy that arrives.
-func (f *Fabric) fate() []time.Duration {
+// copyDelays returns a delay for each copy of a datagram that is delivered, and none
+// for a lost datagram.
+func (f *Fabric) copyDelays() []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.random.Float64() < f.faults.Loss {
@@ -169,8 +173,8 @@
 	return f.faults.Delay + time.Duration(f.random.Float64()*float64(f.faults.Jitter))
 }
 
-// draw returns a balancer.
-func (f *Fabric) draw() (netip.Addr, bool) {
+// pickBalancer returns a random balancer.
+func (f *Fabric) pickBalancer() (netip.Addr, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.balancers) == 0 {
@@ -179,20 +183,20 @@
 	return f.balancers[f.random.IntN(len(f.balancers))], true
 }
 
-// carry delivers a datagram as often and as late as the faults say.
-func (f *Fabric) carry(datagram []byte, deliver func([]byte)) {
-	for _, after := range f.fate() {
-		kept := append([]byte(nil), datagram...)
-		if after == 0 {
-			deliver(kept)
+// transmit delivers the copies of a datagram after their delays.
+func (f *Fabric) transmit(datagram []byte, deliver func([]byte)) {
+	for _, delay := range f.copyDelays() {
+		copied := append([]byte(nil), datagram...)
+		if delay == 0 {
+			deliver(copied)
 			continue
 		}
-		time.AfterFunc(after, func() { deliver(kept) })
+		time.AfterFunc(delay, func() { deliver(copied) })
 	}
 }
 
 func (s *service) inbound() {
-	b := make([]byte, maxDatagram)
+	b := make([]byte, maxDatagramSize)
 	for {
 		n, caller, err := s.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -201,32 +205,32 @@
 		if err != nil {
 			continue
 		}
-		out, err := s.socket(caller)
+		out, err := s.callerSocket(caller)
 		if err != nil {
 			continue
 		}
-		s.fabric.carry(b[:n], func(datagram []byte) {
-			if to, ok := s.fabric.draw(); ok {
+		s.fabric.transmit(b[:n], func(datagram []byte) {
+			if to, ok := s.fabric.pickBalancer(); ok {
 				_, _ = out.WriteToUDPAddrPort(datagram, netip.AddrPortFrom(to, s.port))
 			}
 		})
 	}
 }
 
-// errCallers is returned at the bound of callers.
-var errCallers = errs.New("fabric: too many callers")
+// errTooManyCallers is returned when a service has maxCallers callers.
+var errTooManyCallers = errs.New("fabric: too many callers")
 
-func (s *service) socket(caller netip.AddrPort) (*net.UDPConn, error) {
+func (s *service) callerSocket(caller netip.AddrPort) (*net.UDPConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c, ok := s.callers[caller]; ok {
 		return c, nil
 	}
 	if len(s.callers) >= maxCallers {
-		return nil, errCallers
+		return nil, errTooManyCallers
 	}
-	own := s.conn.LocalAddr().(*net.UDPAddr).AddrPort().Addr()
-	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(own, 0)))
+	local := s.conn.LocalAddr().(*net.UDPAddr).AddrPort().Addr()
+	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(local, 0)))
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
@@ -236,7 +240,7 @@
 }
 
 func (s *service) outbound(c *net.UDPConn, caller netip.AddrPort) {
-	b := make([]byte, maxDatagram)
+	b := make([]byte, maxDatagramSize)
 	for {
 		n, err := c.Read(b)
 		if err != nil {
@@ -245,7 +249,7 @@
 			}
 			continue
 		}
-		s.fabric.carry(b[:n], func(datagram []byte) {
+		s.fabric.transmit(b[:n], func(datagram []byte) {
 			_, _ = s.conn.WriteToUDPAddrPort(datagram, caller)
 		})
 	}
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package upstream stands in for a service's upstream: a QUIC server with a
-// few slots, a load endpoint that can lag or lie, a cold start, and shedding.
+// Package upstream is a test upstream of a service: a QUIC server with a limited
+// number of slots, a load endpoint that can be delayed or report false numbers, a
+// cold start, and load shedding.
 //
 // # Usage
 //
@@ -25,50 +26,53 @@
 )
 
 const (
-	// idle ends a connection whose caller has gone.
-	idle = 20 * time.Second
-	// workTime is how long a revision holds a slot.
-	workTime  = 2 * time.Millisecond
-	fullWarm  = 1000
-	chunkSize = 16 << 10
-	maxTicks  = 1 << 20
+	// idleTimeout closes a connection whose caller is gone.
+	idleTimeout = 20 * time.Second
+	// revisionTime is how long a revision holds a slot.
+	revisionTime = 2 * time.Millisecond
+	fullWarmth   = 1000
+	chunkSize    = 16 << 10
+	maxTicks     = 1 << 20
 )
 
-// Settings of one upstream.
+// Settings configure an upstream.
 type Settings struct {
 	Name    string
 	Service string
 	Address netip.AddrPort
-	// Load is where the load endpoint listens; port 0 takes any.
-	Load  netip.AddrPort
-	Slots int
-	// ColdStart is how long it takes to become warm.
+	// LoadAddress is where the load endpoint listens; port 0 selects a free
+	// port.
+	LoadAddress netip.AddrPort
+	Slots       int
+	// ColdStart is how long the upstream takes to warm up.
 	ColdStart time.Duration
-	// LoadLag delays what the load endpoint tells.
-	LoadLag time.Duration
-	// Lie makes the load endpoint always say that all slots are free.
-	Lie bool
+	// LoadDelay delays the responses of the load endpoint.
+	LoadDelay time.Duration
+	// FalseReports makes the load endpoint always report that all slots are
+	// free.
+	FalseReports bool
 }
 
-// Upstream is one running upstream.
+// Upstream is a running upstream.
 type Upstream struct {
-	settings Settings
-	oracle   *exchange.Oracle
-	slots    chan struct{}
-	conns    atomic.Int64
-	shedding atomic.Bool
-	started  time.Time
-	packet   *net.UDPConn
-	quic     *quic.Transport
-	listener *quic.Listener
-	load     net.Listener
-	server   *http.Server
-	cancel   context.CancelFunc
-	// drained is when its drain began, in nanoseconds of its own clock.
-	drained atomic.Int64
+	settings     Settings
+	oracle       *exchange.Oracle
+	slots        chan struct{}
+	conns        atomic.Int64
+	shedding     atomic.Bool
+	startedAt    time.Time
+	packetConn   *net.UDPConn
+	transport    *quic.Transport
+	listener     *quic.Listener
+	loadListener net.Listener
+	server       *http.Server
+	cancel       context.CancelFunc
+	// drainingSince is when the drain began, in nanoseconds since startedAt; 0
+	// if there is none.
+	drainingSince atomic.Int64
 }
 
-// Start listens and serves.
+// Start starts an upstream that reports to an oracle.
 func Start(s Settings, o *exchange.Oracle) (*Upstream, error) {
 	config, err := exchange.ServerTLS()
 	if err != nil {
@@ -79,33 +83,33 @@
 		return nil, errs.Wrap(err)
 	}
 	u := &Upstream{
-		settings: s, oracle: o, slots: make(chan struct{}, max(s.Slots, 1)), started: time.Now(),
-		packet: packet, quic: &quic.Transport{Conn: packet},
+		settings: s, oracle: o, slots: make(chan struct{}, max(s.Slots, 1)), startedAt: time.Now(),
+		packetConn: packet, transport: &quic.Transport{Conn: packet},
 	}
-	u.listener, err = u.quic.Listen(config, &quic.Config{MaxIdleTimeout: idle, MaxIncomingStreams: 1000})
+	u.listener, err = u.transport.Listen(config, &quic.Config{MaxIdleTimeout: idleTimeout, MaxIncomingStreams: 1000})
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	u.load, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(s.Load))
+	u.loadListener, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(s.LoadAddress))
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	u.server = &http.Server{Handler: http.HandlerFunc(u.tell), ReadHeaderTimeout: time.Second}
-	go func() { _ = u.server.Serve(u.load) }()
+	u.server = &http.Server{Handler: http.HandlerFunc(u.serveLoad), ReadHeaderTimeout: time.Second}
+	go func() { _ = u.server.Serve(u.loadListener) }()
 	ctx, cancel := context.WithCancel(context.Background())
 	u.cancel = cancel
 	go u.accept(ctx)
 	return u, nil
 }
 
-// Address returns where flows are taken.
+// Address returns the address at which the upstream accepts connections.
 func (u *Upstream) Address() netip.AddrPort {
-	return u.packet.LocalAddr().(*net.UDPAddr).AddrPort()
+	return u.packetConn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// LoadAddress returns where the load endpoint listens.
+// LoadAddress returns the address of the load endpoint.
 func (u *Upstream) LoadAddress() string {
-	return u.load.Addr().String()
+	return u.loadListener.Addr().String()
 }
 
 // Conns returns the number of open connections.
@@ -113,28 +117,28 @@
 	return int(u.conns.Load())
 }
 
-// Shed makes the upstream say that it takes no new flows.
+// Shed makes the upstream report whether it is shedding load.
 func (u *Upstream) Shed(on bool) {
 	u.shedding.Store(on)
 }
 
-// Drain notes that the upstream's drain has begun: from a few seconds later on
-// a new connection is a broken promise.
+// Drain records that the upstream's drain has begun. A new connection more than
+// drainGrace later is reported as a late opening.
 func (u *Upstream) Drain() {
-	u.drained.Store(int64(time.Since(u.started)))
+	u.drainingSince.Store(int64(time.Since(u.startedAt)))
 }
 
-// Undrain ends that.
+// Undrain records that the drain has ended.
 func (u *Upstream) Undrain() {
-	u.drained.Store(0)
+	u.drainingSince.Store(0)
 }
 
-// Close ends everything at once.
+// Close stops the upstream without waiting for its connections.
 func (u *Upstream) Close() {
 	u.cancel()
 	_ = u.listener.Close()
-	_ = u.quic.Close()
-	_ = u.packet.Close()
+	_ = u.transport.Close()
+	_ = u.packetConn.Close()
 	_ = u.server.Close()
 }
 
@@ -149,13 +153,13 @@
 	}
 }
 
-// drainGrace is how long after the start of a drain new work may still come.
+// drainGrace is how long after the start of a drain openings may still arrive.
 const drainGrace = 3 * time.Second
 
 func (u *Upstream) checkDrain() {
-	at := u.drained.Load()
-	if at != 0 && time.Since(u.started)-time.Duration(at) > drainGrace {
-		u.oracle.Late()
+	since := u.drainingSince.Load()
+	if since != 0 && time.Since(u.startedAt)-time.Duration(since) > drainGrace {
+		u.oracle.RecordLateOpening()
 	}
 }
 
@@ -167,11 +171,11 @@
 		if err != nil {
 			return
 		}
-		go u.answer(ctx, s)
+		go u.handleStream(ctx, s)
 	}
 }
 
-func (u *Upstream) answer(ctx context.Context, s *quic.Stream) {
+func (u *Upstream) handleStream(ctx context.Context, s *quic.Stream) {
 	defer func() { _ = s.Close() }()
 	line, err := bufio.NewReader(s).ReadBytes('\n')
 	if err != nil {
@@ -182,16 +186,16 @@
 		s.CancelWrite(1)
 		return
 	}
-	u.oracle.Ran(&r, u.settings.Service, u.settings.Name)
+	u.oracle.RecordRun(&r, u.settings.Service, u.settings.Name)
 	switch r.Op {
 	case exchange.Revision:
-		u.work()
+		u.useSlot()
 	case exchange.Feed:
-		if !feed(ctx, s, &r) {
+		if !sendFeed(ctx, s, &r) {
 			return
 		}
 	case exchange.Download:
-		if !download(s, &r) {
+		if !sendDownload(s, &r) {
 			return
 		}
 	}
@@ -199,14 +203,14 @@
 	_, _ = s.Write(append(trailer, '\n'))
 }
 
-// work holds a slot for a moment.
-func (u *Upstream) work() {
+// useSlot holds a slot for revisionTime.
+func (u *Upstream) useSlot() {
 	u.slots <- struct{}{}
 	defer func() { <-u.slots }()
-	time.Sleep(workTime)
+	time.Sleep(revisionTime)
 }
 
-func feed(ctx context.Context, s *quic.Stream, r *exchange.Request) bool {
+func sendFeed(ctx context.Context, s *quic.Stream, r *exchange.Request) bool {
 	ticker := time.NewTicker(time.Duration(max(r.Every, 1)) * time.Millisecond)
 	defer ticker.Stop()
 	for range min(r.Size, maxTicks) {
@@ -224,7 +228,7 @@
 	return true
 }
 
-func download(s *quic.Stream, r *exchange.Request) bool {
+func sendDownload(s *quic.Stream, r *exchange.Request) bool {
 	chunk := make([]byte, chunkSize)
 	for i := range chunk {
 		chunk[i] = '.'
@@ -238,31 +242,31 @@
 	return true
 }
 
-// load is the load endpoint's answer, in the form that agents read.
-type load struct {
+// loadReport is the response of the load endpoint, in the format that agents read.
+type loadReport struct {
 	Slots    int    `json:"slots"`
 	Busy     int    `json:"busy"`
 	Shedding bool   `json:"shedding"`
 	Warmth   uint32 `json:"warmth"`
-	// Connections is the number of open ones.
+	// Connections is the number of open connections.
 	Connections int `json:"connections"`
 }
 
-func (u *Upstream) tell(w http.ResponseWriter, _ *http.Request) {
-	l := load{Slots: u.settings.Slots, Busy: len(u.slots), Shedding: u.shedding.Load(), Warmth: u.warmth()}
+func (u *Upstream) serveLoad(w http.ResponseWriter, _ *http.Request) {
+	l := loadReport{Slots: u.settings.Slots, Busy: len(u.slots), Shedding: u.shedding.Load(), Warmth: u.warmth()}
 	l.Connections = u.Conns()
-	time.Sleep(u.settings.LoadLag)
-	if u.settings.Lie {
-		l.Busy, l.Shedding, l.Warmth, l.Connections = 0, false, fullWarm, 0
+	time.Sleep(u.settings.LoadDelay)
+	if u.settings.FalseReports {
+		l.Busy, l.Shedding, l.Warmth, l.Connections = 0, false, fullWarmth, 0
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(l)
 }
 
 func (u *Upstream) warmth() uint32 {
-	age := time.Since(u.started)
+	age := time.Since(u.startedAt)
 	if u.settings.ColdStart <= 0 || age >= u.settings.ColdStart {
-		return fullWarm
+		return fullWarmth
 	}
-	return uint32(age * fullWarm / u.settings.ColdStart)
+	return uint32(age * fullWarmth / u.settings.ColdStart)
 }
--- a/internal/try/run.go
+++ b/internal/try/run.go
@@ -203,7 +203,7 @@
 		}
 		plan := r.plan(n, mean)
 		r.sessions.Go(func() {
-			if err := caller.Session(ctx, plan, r.world.oracle); err != nil {
+			if err := caller.RunSession(ctx, plan, r.world.oracle); err != nil {
 				r.endedEarly(&plan, err)
 			}
 		})
@@ -214,10 +214,10 @@
 // target that has served it.
 func (r *run) endedEarly(p *caller.Plan, err error) {
 	line := r.world.log.Warn().Str("event", "session").Str("service", p.Service)
-	var early *caller.EarlyError
+	var early *caller.SessionError
 	if errors.As(err, &early) {
-		seen, _ := r.world.fabric.Seen(p.Address.Port(), early.Caller)
-		line = line.Uint64("session", early.Session).Stringer("caller", seen).Str("target", r.world.oracle.Served(early.Session))
+		seen, _ := r.world.fabric.MappedAddress(p.Address.Port(), early.Caller)
+		line = line.Uint64("session", early.Session).Stringer("caller", seen).Str("target", r.world.oracle.ServedBy(early.Session))
 	}
 	line.Err(err).Msg("session ended early")
 }
@@ -241,14 +241,14 @@
 	length := time.Duration(min(r.random.ExpFloat64(), 3) * float64(mean))
 	p := caller.Plan{
 		Service: service.Name, Address: service.Address.AddrPort, Local: r.world.address(octetCaller, byte(1+n%200)),
-		Length: length, Pause: 300 * time.Millisecond,
+		Duration: length, RevisionDelay: 300 * time.Millisecond,
 	}
 	if n%3 == 0 {
-		p.Every = 100
-		p.Ticks = int(length / (100 * time.Millisecond))
+		p.FeedIntervalMillis = 100
+		p.FeedTicks = int(length / (100 * time.Millisecond))
 	}
 	if service != &r.world.answers.Services[0] {
-		p.Bytes = 64 << 10
+		p.DownloadBytes = 64 << 10
 	}
 	return p
 }
--- a/internal/try/world.go
+++ b/internal/try/world.go
@@ -313,7 +313,7 @@
 	s := w.serviceAnswers(t.service)
 	u, err := upstream.Start(upstream.Settings{
 		Name: t.name, Service: t.service, Address: netip.AddrPortFrom(address, 0),
-		Load: netip.AddrPortFrom(address, 0), Slots: s.Slots, ColdStart: durationOf(s.ColdStart),
+		LoadAddress: netip.AddrPortFrom(address, 0), Slots: s.Slots, ColdStart: durationOf(s.ColdStart),
 	}, w.oracle)
 	t.upstream = u
 	return err
