--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -152,7 +152,7 @@
 		}
 	}
 	if s.plan.FeedTicks > 0 {
-		return s.doRequest(ctx, exchange.Request{Op: exchange.Feed, Size: s.plan.FeedTicks, Every: s.plan.FeedIntervalMillis})
+		return s.doRequest(ctx, exchange.Request{Op: exchange.Feed, Size: s.plan.FeedTicks, IntervalMillis: s.plan.FeedIntervalMillis})
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 func (s *session) doRequest(ctx context.Context, r exchange.Request) error {
 	r.ID = s.oracle.StartRequest(s.id)
 	r.Service = s.plan.Service
-	limit := answerTimeout + time.Duration(r.Size*r.Every)*time.Millisecond
+	limit := answerTimeout + time.Duration(r.Size*r.IntervalMillis)*time.Millisecond
 	answer, err := s.roundTrip(ctx, &r, limit)
 	if ctx.Err() == nil {
 		s.oracle.RecordOutcome(classify(&r, answer, err))
--- a/internal/standin/exchange/exchange.go
+++ b/internal/standin/exchange/exchange.go
@@ -43,8 +43,8 @@
 	Op      Op     `json:"op"`
 	// Size is the number of ticks of a feed or bytes of a download.
 	Size int `json:"size"`
-	// Every is the time between ticks in milliseconds.
-	Every int `json:"every"`
+	// IntervalMillis is the time between the ticks of a feed.
+	IntervalMillis int `json:"every"`
 }
 
 // Trailer is the last line of an answer.
--- a/internal/standin/model/target.go
+++ b/internal/standin/model/target.go
@@ -39,9 +39,11 @@
 	Shedding bool
 	// Paused agents receive nothing; what arrives is lost, as with a full
 	// socket buffer.
-	Paused   bool
-	Dead     bool
-	stopped  bool
+	Paused  bool
+	Dead    bool
+	stopped bool
+	// tookOver targets succeed an agent that was past its joining: they start
+	// warm and do not join.
 	tookOver bool
 	// upstreamLost targets are gone together with their upstream.
 	upstreamLost bool
@@ -182,14 +184,14 @@
 // disableSafeguard modifies an envelope so that a disabled safeguard has no
 // effect, for the tests of the checks themselves.
 func (t *Target) disableSafeguard(e *wire.Envelope) {
-	without := t.world.Options.Disabled
+	disabled := t.world.Options.Disabled
 	switch {
-	case without == Incarnation:
+	case disabled == Incarnation:
 		e.Service, e.Target, e.Incarnation = t.service, t.ID, t.Incarnation
-	case without == HomePlacement && e.Stage == wire.Stage_STAGE_OPEN:
+	case disabled == HomePlacement && e.Stage == wire.Stage_STAGE_OPEN:
 		e.Stage = wire.Stage_STAGE_PLACED
 		e.Home = t.ID
-	case without == ConnectionIDs:
+	case disabled == ConnectionIDs:
 		e.Payload = nil
 	}
 }
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -211,7 +211,7 @@
 }
 
 func sendFeed(ctx context.Context, s *quic.Stream, r *exchange.Request) bool {
-	ticker := time.NewTicker(time.Duration(max(r.Every, 1)) * time.Millisecond)
+	ticker := time.NewTicker(time.Duration(max(r.IntervalMillis, 1)) * time.Millisecond)
 	defer ticker.Stop()
 	for range min(r.Size, maxTicks) {
 		select {
