--- a/internal/measures/baseline.go
+++ b/internal/measures/baseline.go
@@ -60,7 +60,7 @@
 		b.openFlows = append(b.openFlows, map[uint64]*flow{})
 	}
 	b.previous = append([]bool(nil), b.accepting...)
-	lengths := model.NewLengths(model.Load{PerTarget: c.PerTarget, Mean: meanFlowLength, Sigma: flowLengthSigma}, seed)
+	lengths := model.NewFlowLengths(model.Workload{FlowsPerTarget: c.PerTarget, MeanLength: meanFlowLength, Sigma: flowLengthSigma}, seed)
 	for range c.PerTarget * c.Targets {
 		b.openFlow(lengths.Remaining())
 	}
@@ -68,12 +68,12 @@
 	b.scheduleArrivals(lengths, c.Targets)
 	b.Run(settleTime)
 	scheduleScenario(c.Scenario, b, c.Targets)
-	var balance model.Balance
+	var balance model.BalanceStats
 	for range sampleTime / sampleInterval {
 		b.Run(sampleInterval)
 		balance.Add(b.flowCounts())
 	}
-	b.result.Imbalance, b.result.Variation, b.result.HopsPerDatagram = balance.Ratio(), balance.Variation(), 1
+	b.result.Imbalance, b.result.Variation, b.result.HopsPerDatagram = balance.MaxToMean(), balance.CoefficientOfVariation(), 1
 	return b.result
 }
 
@@ -82,9 +82,9 @@
 }
 
 // scheduleArrivals opens flows at random intervals.
-func (b *baselineSim) scheduleArrivals(l *model.Lengths, targets int) {
-	b.schedule(clock.Millis(l.Gap(targets)+b.random.Float64()), func() {
-		b.openFlow(l.Draw())
+func (b *baselineSim) scheduleArrivals(l *model.FlowLengths, targets int) {
+	b.schedule(clock.Millis(l.ArrivalInterval(targets)+b.random.Float64()), func() {
+		b.openFlow(l.Next())
 		b.scheduleArrivals(l, targets)
 	})
 }
--- a/internal/measures/hops.go
+++ b/internal/measures/hops.go
@@ -29,12 +29,12 @@
 // RunHops runs a service with flows that send continuously; it counts opening datagrams too.
 func RunHops(c Case, balancers int, seed uint64) HopsResult {
 	w := model.New(model.Options{
-		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001, Digest: c.DigestInterval,
+		Seed: seed, Targets: c.Targets, Balancers: balancers, Delay: c.Delay, Jitter: 2, Loss: 0.001, DigestInterval: c.DigestInterval,
 	})
 	out := HopsResult{Case: c, Balancers: balancers}
 	passed := map[uint64]int{}
 	passes := 0
-	w.Trace = func(h model.Hop) {
+	w.Trace = func(h model.TraceEvent) {
 		switch h.Decision.Action {
 		case owner.Pass:
 			passed[h.Flow]++
--- a/internal/measures/measures.go
+++ b/internal/measures/measures.go
@@ -103,20 +103,20 @@
 func RunWagtailtray(c Case, seed uint64) Result {
 	w := model.New(model.Options{
 		Seed: seed, Targets: c.Targets, Balancers: balancerCount, Delay: c.Delay, Jitter: 2, Loss: 0.001,
-		Spread: maxPropagationDelay, Digest: c.DigestInterval, Quiet: true, Ramp: rampTime, Lie: c.Scenario == FalseReports,
+		MaxPropagationDelay: maxPropagationDelay, DigestInterval: c.DigestInterval, NoRequests: true, RampTime: rampTime, FalseReports: c.Scenario == FalseReports,
 	})
-	g := model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: meanFlowLength, Sigma: flowLengthSigma})
+	g := model.NewGenerator(w, model.Workload{FlowsPerTarget: c.PerTarget, MeanLength: meanFlowLength, Sigma: flowLengthSigma})
 	w.Run(settleTime)
 	crashLosses := 0
 	scheduleScenario(c.Scenario, &modelActions{world: w, generator: g, crashLosses: &crashLosses}, c.Targets)
-	var b model.Balance
+	var b model.BalanceStats
 	for range sampleTime / sampleInterval {
 		w.Run(sampleInterval)
 		b.Add(w.Conns())
 	}
 	v := w.Verdict()
 	return Result{
-		Case: c, Algorithm: Wagtailtray, Flows: v.Flows, Broken: crashLosses + w.Stranded(), CrashLosses: crashLosses, Imbalance: b.Ratio(), Variation: b.Variation(),
+		Case: c, Algorithm: Wagtailtray, Flows: v.Flows, Broken: crashLosses + w.UnansweredFlows(), CrashLosses: crashLosses, Imbalance: b.MaxToMean(), Variation: b.CoefficientOfVariation(),
 		HopsPerDatagram: float64(w.Hops) / float64(max(w.Datagrams, 1)), Doubled: v.Doubled,
 	}
 }
@@ -130,9 +130,9 @@
 func MeasureRefill(c Case, seed uint64) (took, minimum float64) {
 	w := model.New(model.Options{
 		Seed: seed, Targets: c.Targets, Balancers: balancerCount, Delay: c.Delay, Jitter: 2, Loss: 0.001,
-		Spread: maxPropagationDelay, Digest: c.DigestInterval, Quiet: true,
+		MaxPropagationDelay: maxPropagationDelay, DigestInterval: c.DigestInterval, NoRequests: true,
 	})
-	model.NewGenerator(w, model.Load{PerTarget: c.PerTarget, Mean: meanFlowLength, Sigma: flowLengthSigma})
+	model.NewGenerator(w, model.Workload{FlowsPerTarget: c.PerTarget, MeanLength: meanFlowLength, Sigma: flowLengthSigma})
 	w.Run(settleTime)
 	w.Add("joined")
 	// The target opens no flows while it is joining.
@@ -140,9 +140,9 @@
 	start := w.Now()
 	for w.Now().Sub(start) < 2*meanFlowLength {
 		w.Run(sampleInterval)
-		var b model.Balance
+		var b model.BalanceStats
 		b.Add(w.Conns())
-		if b.Ratio() < refillThreshold {
+		if b.MaxToMean() < refillThreshold {
 			break
 		}
 	}
--- a/internal/measures/openings.go
+++ b/internal/measures/openings.go
@@ -38,7 +38,7 @@
 // RunOpenings opens flows while targets change.
 func RunOpenings(seed uint64, flows int, every, spread time.Duration) OpeningsResult {
 	w := model.New(model.Options{
-		Seed: seed, Targets: openTargets, Balancers: openBalancers, Jitter: 5, Loss: 0.001, Duplicate: 0.001, Spread: clock.FromDuration(spread),
+		Seed: seed, Targets: openTargets, Balancers: openBalancers, Jitter: 5, Loss: 0.001, Duplicate: 0.001, MaxPropagationDelay: clock.FromDuration(spread),
 	})
 	random := rand.New(rand.NewPCG(seed, 11))
 	out := OpeningsResult{Flows: flows}
@@ -46,7 +46,7 @@
 	for i := range flows {
 		c := w.Open(openFlowLength)
 		if i%resendEvery == 0 {
-			w.After(clock.Millis(random.IntN(1500)), func() { c.ResendUnopened() })
+			w.After(clock.Millis(random.IntN(1500)), func() { c.ResendIfUnopened() })
 			out.Resends++
 		}
 		w.Run(openInterval)
--- a/internal/try/environment.go
+++ b/internal/try/environment.go
@@ -314,7 +314,7 @@
 	s := e.serviceAnswers(t.service)
 	u, err := upstream.Start(upstream.Settings{
 		Name: t.name, Service: t.service, Address: netip.AddrPortFrom(address, 0),
-		Load: netip.AddrPortFrom(address, 0), Slots: s.Slots, ColdStart: durationOf(s.ColdStart),
+		LoadAddress: netip.AddrPortFrom(address, 0), Slots: s.Slots, ColdStart: durationOf(s.ColdStart),
 	}, e.oracle)
 	t.upstream = u
 	return err
