--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -79,7 +79,7 @@
 			return nil, err
 		}
 		in.Slopes[p.name] = s
-		progress("%-11s %10.1f %s (fit %.4f)", s.Name, s.Slope, s.Unit, s.RSquared)
+		progress("%-11s %10.1f %s (fit %.4f)", s.Name, s.Slope, s.Unit, s.R2)
 	}
 	return in, nil
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -38,7 +38,7 @@
 		for _, p := range s.Points {
 			sizes = append(sizes, fmt.Sprintf("%.0f", p.Size))
 		}
-		fmt.Fprintf(b, "| %s | %.1f %s | %.4f | %s |\n", name, s.Slope, s.Unit, s.RSquared, strings.Join(sizes, ", "))
+		fmt.Fprintf(b, "| %s | %.1f %s | %.4f | %s |\n", name, s.Slope, s.Unit, s.R2, strings.Join(sizes, ", "))
 	}
 	fmt.Fprintf(b, "\nAn idle daemon's resident memory is %.1f MB; a heartbeat is %.0f bytes on the wire and a load digest %.0f, with the headers of IP and UDP.\n\n", in.IdleMemory/1e6, heartbeatBytes, loadDigestBytes)
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -37,7 +37,7 @@
 func TestSlopeNeedsFourSizes(t *testing.T) {
 	points := []capacity.Point{{Size: 1, Value: 3}, {Size: 2, Value: 5}, {Size: 4, Value: 9}, {Size: 8, Value: 17}}
 	s, err := capacity.NewSlope("x", "y", points)
-	if err != nil || math.Abs(s.Slope-2) > 1e-9 || math.Abs(s.Intercept-1) > 1e-9 || s.RSquared < 0.9999 {
+	if err != nil || math.Abs(s.Slope-2) > 1e-9 || math.Abs(s.Intercept-1) > 1e-9 || s.R2 < 0.9999 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := capacity.NewSlope("x", "y", points[:3]); !errors.Is(err, capacity.ErrTooFewSizes) {
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -38,11 +38,11 @@
 	// Unit is that of the slope, such as "bytes a record".
 	Unit   string  `json:"unit"`
 	Points []Point `json:"points"`
-	// Intercept and Slope define the line; RSquared is its coefficient of
+	// Intercept and Slope define the line; R2 is its coefficient of
 	// determination.
 	Intercept float64 `json:"base"`
 	Slope     float64 `json:"slope"`
-	RSquared  float64 `json:"fit"`
+	R2        float64 `json:"fit"`
 }
 
 // NewSlope fits a line to points.
@@ -56,7 +56,7 @@
 		xs[i], ys[i] = p.Size, p.Value
 	}
 	s.Intercept, s.Slope = stat.LinearRegression(xs, ys, nil, false)
-	s.RSquared = stat.RSquared(xs, ys, nil, s.Intercept, s.Slope)
+	s.R2 = stat.RSquared(xs, ys, nil, s.Intercept, s.Slope)
 	return s, nil
 }
 
