--- a/internal/capacity/approvals.go
+++ b/internal/capacity/approvals.go
@@ -126,11 +126,11 @@
 	out := ApprovalResult{Scenario: t}
 	for i := range size.Approvals {
 		f.platform.SetFaults(t.PlatformFaults)
-		took, err := f.approveOnce(ctx, i, func() error { return f.injectFaults(ctx, t) })
+		delay, err := f.approveOnce(ctx, i, func() error { return f.injectFaults(ctx, t) })
 		if err != nil {
 			return out, err
 		}
-		out.DelayMillis = append(out.DelayMillis, took)
+		out.DelayMillis = append(out.DelayMillis, delay)
 		// This outage must not overlap the next approval.
 		f.pendingOutage.Wait()
 	}
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -318,10 +318,10 @@
 	out.ResidentMemory = (residentMemory() - resident) / n
 	out.LiveMemory = (memoryInUse() - before) / n
 	suspicionsBefore := f.suspicions.count.Load()
-	busyBefore, bytesBefore, start := cpuTime(), loopbackBytes(), time.Now()
+	cpuBefore, bytesBefore, start := cpuTime(), loopbackBytes(), time.Now()
 	time.Sleep(f.size.Window)
 	elapsed := time.Since(start).Seconds()
-	out.CPUShare = (cpuTime() - busyBefore) / 1e9 / elapsed / n
+	out.CPUShare = (cpuTime() - cpuBefore) / 1e9 / elapsed / n
 	out.BytesPerSecond = (loopbackBytes() - bytesBefore) / elapsed / n
 	out.Suspicions = f.suspicions.count.Load() - suspicionsBefore
 	calls := f.platform.Calls()
@@ -332,11 +332,11 @@
 // balancers.
 func (f *fleet) measureApprovals(ctx context.Context, out *FleetResult) error {
 	for i := range f.size.Approvals {
-		took, err := f.approveOnce(ctx, i, func() error { return nil })
+		delay, err := f.approveOnce(ctx, i, func() error { return nil })
 		if err != nil {
 			return err
 		}
-		out.DelayMillis = append(out.DelayMillis, took)
+		out.DelayMillis = append(out.DelayMillis, delay)
 	}
 	return nil
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -365,14 +365,14 @@
 		return 0, err
 	}
 	sealer, opener := envelope.NewSealer(ring, 1472), envelope.NewOpener(ring)
-	var got wire.Envelope
+	var opened wire.Envelope
 	out := make([]byte, 0, 1500)
 	return cpuTimeOf(func() error {
 		for range n {
 			if out, err = sealer.Seal(out[:0], e); err != nil {
 				return err
 			}
-			if err := opener.Open(&got, out); err != nil {
+			if err := opener.Open(&opened, out); err != nil {
 				return err
 			}
 		}
@@ -457,14 +457,14 @@
 }
 
 func connectionBytes(n int) (float64, error) {
-	var got float64
+	var growth float64
 	err := withServer(func(address netip.AddrPort, _ *control.Client) error {
 		ring, err := key.Parse(testKey)
 		if err != nil {
 			return err
 		}
 		var clients []*control.Client
-		got, err = memoryGrowth(func() (any, error) {
+		growth, err = memoryGrowth(func() (any, error) {
 			for range n {
 				c, err := control.NewClient(ring)
 				if err != nil {
@@ -483,5 +483,5 @@
 		}
 		return err
 	})
-	return got, err
+	return growth, err
 }
--- a/internal/capacity/meter.go
+++ b/internal/capacity/proxy.go
@@ -21,14 +21,14 @@
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	m := &countingProxy{listener: l, address: l.Addr().(*net.TCPAddr).AddrPort()}
-	go m.accept(to)
-	return m, nil
+	p := &countingProxy{listener: l, address: l.Addr().(*net.TCPAddr).AddrPort()}
+	go p.accept(to)
+	return p, nil
 }
 
-func (m *countingProxy) accept(to netip.AddrPort) {
+func (p *countingProxy) accept(to netip.AddrPort) {
 	for {
-		in, err := m.listener.Accept()
+		in, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -37,13 +37,13 @@
 			_ = in.Close()
 			continue
 		}
-		go m.copyBytes(in, out)
-		go m.copyBytes(out, in)
+		go p.copyBytes(in, out)
+		go p.copyBytes(out, in)
 	}
 }
 
-func (m *countingProxy) copyBytes(from, to net.Conn) {
-	_, _ = io.Copy(&countingWriter{Writer: to, bytes: &m.bytes}, from)
+func (p *countingProxy) copyBytes(from, to net.Conn) {
+	_, _ = io.Copy(&countingWriter{Writer: to, bytes: &p.bytes}, from)
 	_ = from.Close()
 	_ = to.Close()
 }
@@ -58,6 +58,6 @@
 	return c.Writer.Write(p)
 }
 
-func (m *countingProxy) close() {
-	_ = m.listener.Close()
+func (p *countingProxy) close() {
+	_ = p.listener.Close()
 }
