--- a/internal/connection/admission/admission.go
+++ b/internal/connection/admission/admission.go
@@ -5,8 +5,8 @@
 // A target that has just started can handle only a limited number of openings a second
 // until it is warm. The limit applies to any period of a second, and balancers do not know
 // what the others send, so it is enforced where all openings arrive: by the target's
-// agent, in a Limiter. Balancers are told how many openings remain, and use other targets
-// before an opening has to be returned.
+// agent, in a Limiter. The agent reports the remaining openings to the balancers, which use
+// other targets before an opening has to be returned.
 //
 // # Usage
 //
--- a/internal/connection/checkpoint/keeper.go
+++ b/internal/connection/checkpoint/keeper.go
@@ -51,8 +51,8 @@
 	// number is the agent's number of the entry, or zero if it was read from the store.
 	number     uint32
 	receivedAt clock.Millis
-	// acknowledged is set if the agent was told that the entry is in the store, or if
-	// it was read from there.
+	// acknowledged is set if the agent was sent an acknowledgement that the entry is in
+	// the store, or if it was read from there.
 	acknowledged bool
 }
 
--- a/internal/connection/stream/bench_test.go
+++ b/internal/connection/stream/bench_test.go
@@ -35,7 +35,7 @@
 				packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
 				s.flows.Remove(id)
 				s.HandlePacket(testNow, decode(packet), packet)
-				s.Take()
+				s.TakeOutcome()
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		s.HandlePacket(testNow, seg, packet)
-		s.Take()
+		s.TakeOutcome()
 	}
 }
 
--- a/internal/connection/stream/choose_test.go
+++ b/internal/connection/stream/choose_test.go
@@ -170,7 +170,7 @@
 	tr.Stop(testNow + 1001)
 	balancer := testAddress(1, 0)
 	tr.SendReport(testNow+1001, []netip.AddrPort{balancer})
-	if r := tr.Take().Sends[0].Parcel.Report; r.Condition != wire.Condition_CONDITION_GONE {
+	if r := tr.TakeOutcome().Sends[0].Parcel.Report; r.Condition != wire.Condition_CONDITION_GONE {
 		t.Errorf("condition reported by a stopping agent without a target: %v", r.Condition)
 	}
 	ts := newLoadedTargets(targetLoad{"a", 0, 0, 0})
--- a/internal/connection/stream/doc.go
+++ b/internal/connection/stream/doc.go
@@ -26,8 +26,8 @@
 // target's and denies the flow.
 //
 // For example, T1 is slow and the second copy of an opening packet goes to T2. The
-// caller hears T1 first and acknowledges it. The balancer sends that packet to T2,
-// whose agent returns it; a search finds T1.
+// caller receives T1's answer first and acknowledges it. The balancer sends that packet
+// to T2, whose agent returns it; a search finds T1.
 //
 // # Suspicion
 //
@@ -51,8 +51,8 @@
 //	s.HandlePacket(now, &seg, packet)
 //	s.HandleParcel(now, from, parcel, &seg)
 //	s.Tick(now)
-//	for _, send := range s.Take().Sends { ... }
+//	for _, send := range s.TakeOutcome().Sends { ... }
 //
 // Decisions do no I/O: time and randomness are arguments, and what is to be sent
-// is collected until Take returns it.
+// is collected until TakeOutcome returns it.
 package stream
--- a/internal/connection/stream/empty_test.go
+++ b/internal/connection/stream/empty_test.go
@@ -17,13 +17,13 @@
 
 // askHolding asks an agent about a flow.
 func askHolding(h *Tracker, now clock.Millis) wire.Holding {
-	h.Take()
+	h.TakeOutcome()
 	q := newQuestions(0, alwaysSearching)
 	q.add(now, testAddress(2, 0), false, segment.Flow{Caller: testAddress(100, 0), Listener: testListener}, 7)
 	var out Outcome
 	q.flush(now, 0, &out)
 	h.HandleParcel(now, testAddress(1, 0), out.Sends[0].Parcel, nil)
-	return wire.Holding(h.Take().Sends[0].Parcel.Holdings[0])
+	return wire.Holding(h.TakeOutcome().Sends[0].Parcel.Holdings[0])
 }
 
 // returnPacket gives the agent a packet of that flow that the VM returned.
@@ -92,12 +92,12 @@
 	}
 	packet := segment.Segment{Source: testAddress(100, 0), Destination: testListener, Flags: segment.Acks, Ack: 7, Size: 100}
 	h.HandleParcel(testNow+11, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: "one", Packet: encode(packet)}, &packet)
-	if got := len(h.Take().Deliveries); got != 1 {
+	if got := len(h.TakeOutcome().Deliveries); got != 1 {
 		t.Fatalf("the packet was delivered %d times", got)
 	}
 	reset := segment.Segment{Source: testListener, Destination: testAddress(100, 0), Flags: segment.Resets, Seq: 8}
 	h.HandleTargetPacket(testNow+12, &reset, encode(reset))
-	out := h.Take()
+	out := h.TakeOutcome()
 	if len(out.Answers) > 0 || len(out.Resets) > 0 {
 		t.Error("the caller was reset by a target that does not hold its flow")
 	}
--- a/internal/connection/stream/evacuation_test.go
+++ b/internal/connection/stream/evacuation_test.go
@@ -26,7 +26,7 @@
 		s.HandleParcel(testNow, testAddress(2, i), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	s.UpdateEvacuations(testNow, evacuation.New(5, evacuated))
-	s.Take()
+	s.TakeOutcome()
 	return s
 }
 
@@ -43,24 +43,24 @@
 	return counts
 }
 
-// A failure domain is evacuated under peak load. From the order until its withdrawal
-// nothing may be opened there, neither by balancers in that domain nor by others.
+// A failure domain is evacuated under peak load. Until the evacuation ends nothing may be
+// opened there, neither by balancers in that domain nor by others.
 func TestNoOpeningsInEvacuatedDomain(t *testing.T) {
 	s := newEvacuatingSteerer(t, newTestTable(t), []string{"a"}, "a", "b")
 	for i := range 100 {
 		sendOpening(s, testNow, i)
 	}
-	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 0 || got[1] != 100 {
+	if got := countOpeningsPerTarget(s.TakeOutcome(), 2); got[0] != 0 || got[1] != 100 {
 		t.Errorf("distribution of openings: %v", got)
 	}
 	s.UpdateEvacuations(testNow, evacuation.New(4, nil))
 	sendOpening(s, testNow, 200)
-	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 0 {
+	if got := countOpeningsPerTarget(s.TakeOutcome(), 2); got[0] != 0 {
 		t.Error("an older snapshot has undone the evacuation")
 	}
 	s.UpdateEvacuations(testNow, evacuation.New(6, nil))
 	sendOpening(s, testNow, 201)
-	if got := countOpeningsPerTarget(s.Take(), 2); got[0] != 1 {
+	if got := countOpeningsPerTarget(s.TakeOutcome(), 2); got[0] != 1 {
 		t.Error("nothing is opened after the evacuation was withdrawn")
 	}
 }
@@ -85,7 +85,7 @@
 	} {
 		s := newEvacuatingSteerer(t, c.table, c.evacuated, c.domains...)
 		sendOpening(s, testNow, 1)
-		out := s.Take()
+		out := s.TakeOutcome()
 		if got := len(out.Resets) == 1; got != c.refused {
 			t.Errorf("%s: refused %v at once, want %v", c.name, got, c.refused)
 		}
@@ -101,12 +101,12 @@
 	reportReadyTarget(s, testNow)
 	s.UpdateEvacuations(testNow, evacuation.New(5, []string{"a"}))
 	sendOpening(s, testNow+10, 1)
-	if out := s.Take(); len(out.Resets) != 0 {
+	if out := s.TakeOutcome(); len(out.Resets) != 0 {
 		t.Fatal("refused before the balancer knew all targets")
 	}
 	s.SetSettled(true)
 	s.Tick(testNow + 60)
-	if out := s.Take(); len(out.Resets) != 1 {
+	if out := s.TakeOutcome(); len(out.Resets) != 1 {
 		t.Errorf("%d resets, want one at once", len(out.Resets))
 	}
 }
@@ -121,9 +121,9 @@
 		s.HandleParcel(now, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 		s.Tick(now)
 	}
-	s.Take()
+	s.TakeOutcome()
 	sendOpening(s, now, 1)
-	if out := s.Take(); len(out.Resets) != 1 {
+	if out := s.TakeOutcome(); len(out.Resets) != 1 {
 		t.Errorf("%d resets, want one at once", len(out.Resets))
 	}
 }
@@ -137,7 +137,7 @@
 	for i := range 50 {
 		sendOpening(s, testNow, i)
 	}
-	if got := countOpeningsPerTarget(s.Take(), 3); got[0] != 0 || got[1] != 0 || got[2] != 50 {
+	if got := countOpeningsPerTarget(s.TakeOutcome(), 3); got[0] != 0 || got[1] != 0 || got[2] != 50 {
 		t.Errorf("distribution of openings: %v", got)
 	}
 }
@@ -159,7 +159,7 @@
 		s.Tick(at)
 	}
 	passed := map[netip.AddrPort]bool{}
-	for _, send := range s.Take().Sends {
+	for _, send := range s.TakeOutcome().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_CARRY {
 			passed[send.To] = true
 		}
@@ -170,7 +170,7 @@
 }
 
 // A balancer starts during an evacuation while the store is unavailable. Its first openings
-// wait until a peer tells it the evacuations, and then go to permitted domains.
+// wait until a peer sends it the evacuations, and then go to permitted domains.
 func TestStartWaitsForEvacuations(t *testing.T) {
 	s := NewSteerer(testNow, Settings{Domain: "a", AwaitEvacuations: true, MaxFlows: 1000, FlowTTL: testFlowTTL})
 	s.SetTable(testNow, newTestTable(t))
@@ -210,7 +210,7 @@
 func sendEvacuation(tr *Tracker, now clock.Millis, revision uint64, evacuated bool) {
 	probe := &wire.Report{Probe: 1, Orders: revision, Evacuated: evacuated}
 	tr.HandleParcel(now, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_PROBE, Report: probe}, nil)
-	tr.Take()
+	tr.TakeOutcome()
 }
 
 // offerOpening sends an opening to an agent and returns the cause of its rejection, if any.
@@ -219,7 +219,7 @@
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
 	p := &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: packet, Warming: uint32(warming)}
 	tr.HandleParcel(now, testAddress(1, 0), p, decode(packet))
-	out := tr.Take()
+	out := tr.TakeOutcome()
 	if len(out.Deliveries) > 0 {
 		return wire.Cause_CAUSE_NONE
 	}
@@ -250,7 +250,7 @@
 	}
 }
 
-// A target has become slow during an evacuation, which its next heartbeat will tell. Until
+// A target has become slow during an evacuation, which its next heartbeat will report. Until
 // then it gets no more openings than a target that has just started.
 func TestTargetsWarmUpAfterEvacuation(t *testing.T) {
 	tr := newReadyTracker()
@@ -299,13 +299,13 @@
 	}
 	s := newEvacuatingSteerer(t, table, nil, "b")
 	tr.SendReport(testNow+20, []netip.AddrPort{testAddress(1, 0)})
-	report := tr.Take().Sends[0].Parcel
+	report := tr.TakeOutcome().Sends[0].Parcel
 	s.HandleParcel(testNow+20, testAddress(2, 9), report, nil)
-	s.Take()
+	s.TakeOutcome()
 	for i := range 30 {
 		sendOpening(s, testNow+21, i)
 	}
-	for _, send := range s.Take().Sends {
+	for _, send := range s.TakeOutcome().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_OPEN && send.To == testAddress(2, 9) {
 			t.Fatal("an opening went to a target that has no room")
 		}
@@ -347,12 +347,12 @@
 			sendOpening(s, now, 1)
 		}
 		s.Tick(now)
-		out := s.Take()
+		out := s.TakeOutcome()
 		for _, send := range out.Sends {
 			if p := send.Parcel; p.Verb == wire.Verb_VERB_OPEN {
 				back := &wire.Parcel{Verb: wire.Verb_VERB_RETURN, Cause: wire.Cause_CAUSE_WARMING, Packet: p.Packet}
 				s.HandleParcel(now, send.To, back, decode(p.Packet))
-				out.Resets = append(out.Resets, s.Take().Resets...)
+				out.Resets = append(out.Resets, s.TakeOutcome().Resets...)
 			}
 		}
 		if len(out.Resets) > 0 && refused == 0 {
@@ -383,17 +383,17 @@
 		s.HandleParcel(at, testAddress(2, 0), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: r}, nil)
 	}
 	cold(testNow, 1)
-	s.Take()
+	s.TakeOutcome()
 	for i := range 2 * rate {
 		sendOpening(s, testNow, i)
 	}
-	out := s.Take()
+	out := s.TakeOutcome()
 	if got := countOpeningsPerTarget(out, 1)[0]; got != rate || len(out.Resets) != 0 {
 		t.Errorf("%d were opened and %d refused, want %d and none", got, len(out.Resets), rate)
 	}
 	cold(testNow+200, 2)
 	s.Tick(testNow + 200)
-	if got := countOpeningsPerTarget(s.Take(), 1)[0]; got != rate {
+	if got := countOpeningsPerTarget(s.TakeOutcome(), 1)[0]; got != rate {
 		t.Errorf("%d of the queued openings were sent after the next report", got)
 	}
 }
--- a/internal/connection/stream/fuzz_test.go
+++ b/internal/connection/stream/fuzz_test.go
@@ -28,12 +28,12 @@
 		count = more
 	}
 	for seed := range count {
-		w := newFaultySimulation(t, uint64(seed))
-		w.run(60 * clock.Second)
-		if w.served < 200 {
-			w.fail("only %d requests were answered", w.served)
+		sim := newFaultySimulation(t, uint64(seed))
+		sim.run(60 * clock.Second)
+		if sim.served < 200 {
+			sim.fail("only %d requests were answered", sim.served)
 		}
-		for _, f := range w.failures {
+		for _, f := range sim.failures {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 		if t.Failed() {
@@ -47,52 +47,52 @@
 
 // newFaultySimulation schedules faults of all kinds, or for every other seed only planned ones.
 func newFaultySimulation(t testing.TB, seed uint64) *simulation {
-	w := newSimulation(t, seed, 5, 9, 40)
+	sim := newSimulation(t, seed, 5, 9, 40)
 	for range faultCount {
-		kind := w.random.IntN(14)
+		kind := sim.random.IntN(14)
 		if seed%2 == 1 {
-			kind = plannedFaults[w.random.IntN(len(plannedFaults))]
+			kind = plannedFaults[sim.random.IntN(len(plannedFaults))]
 		}
-		w.schedule(clock.Millis(5000+w.random.IntN(40000)), func() { w.injectFault(kind) })
+		sim.schedule(clock.Millis(5000+sim.random.IntN(40000)), func() { sim.injectFault(kind) })
 	}
-	return w
+	return sim
 }
 
 // injectFault injects a fault of a kind.
-func (w *simulation) injectFault(kind int) {
-	b := w.balancers[w.random.IntN(len(w.balancers))]
-	a := w.agents[w.random.IntN(len(w.agents))]
-	w.traceEvents(netip.AddrPort{}, []Event{{Kind: "fault", Count: kind, Target: b.address, Reason: a.address.String()}})
+func (sim *simulation) injectFault(kind int) {
+	b := sim.balancers[sim.random.IntN(len(sim.balancers))]
+	a := sim.agents[sim.random.IntN(len(sim.agents))]
+	sim.traceEvents(netip.AddrPort{}, []Event{{Kind: "fault", Count: kind, Target: b.address, Reason: a.address.String()}})
 	switch kind {
 	case 0:
-		w.restartBalancer(b)
+		sim.restartBalancer(b)
 	case 1:
-		w.killBalancer(b)
+		sim.killBalancer(b)
 	case 2:
-		w.restartAgent(a, true)
+		sim.restartAgent(a, true)
 	case 3:
-		a.extend(w.now)
-		w.restartAgent(a, false)
+		a.extend(sim.now)
+		sim.restartAgent(a, false)
 	case 4:
-		w.drainTarget(a)
+		sim.drainTarget(a)
 	case 5:
-		w.crashTarget(a)
+		sim.crashTarget(a)
 	case 6:
-		w.loseVM(a)
+		sim.loseVM(a)
 	case 7:
-		w.blockPath(b, a)
+		sim.blockPath(b, a)
 	case 8:
-		w.setTable(w.table.Version+1, []string{"one", "two"}[w.random.IntN(2)])
+		sim.setTable(sim.table.Version+1, []string{"one", "two"}[sim.random.IntN(2)])
 	case 9:
-		w.freezeBalancer(b)
+		sim.freezeBalancer(b)
 	case 10:
-		w.killAllProcesses()
+		sim.killAllProcesses()
 	case 11:
-		w.failRequests(a)
+		sim.failRequests(a)
 	case 12:
-		w.losePower()
+		sim.losePower()
 	case 13:
-		w.evacuate(b.domain)
+		sim.evacuate(b.domain)
 	}
 }
 
@@ -106,65 +106,65 @@
 
 // evacuate starts the evacuation of a failure domain, or withdraws it. Balancers learn of it
 // after different delays, and outdated snapshots arrive late.
-func (w *simulation) evacuate(domain string) {
-	last := w.snapshots[len(w.snapshots)-1]
+func (sim *simulation) evacuate(domain string) {
+	last := sim.snapshots[len(sim.snapshots)-1]
 	c := evacuation.Change{Domain: domain, Removed: last.Has(domain)}
 	next := last.Apply(last.Revision+1, []evacuation.Change{c})
-	w.snapshots = append(w.snapshots, next)
-	delete(w.evacuated, domain)
+	sim.snapshots = append(sim.snapshots, next)
+	delete(sim.evacuated, domain)
 	if !c.Removed {
-		w.evacuated[domain] = w.now
+		sim.evacuated[domain] = sim.now
 	}
-	for _, b := range w.balancers {
-		w.sendEvacuations(b, next)
-		w.sendEvacuations(b, w.snapshots[w.random.IntN(len(w.snapshots))])
+	for _, b := range sim.balancers {
+		sim.sendEvacuations(b, next)
+		sim.sendEvacuations(b, sim.snapshots[sim.random.IntN(len(sim.snapshots))])
 	}
 }
 
-func (w *simulation) sendEvacuations(b *simBalancer, s evacuation.Snapshot) {
-	w.schedule(clock.Millis(w.random.IntN(simEvacuationDelay)), func() {
+func (sim *simulation) sendEvacuations(b *simBalancer, s evacuation.Snapshot) {
+	sim.schedule(clock.Millis(sim.random.IntN(simEvacuationDelay)), func() {
 		if b.up {
-			b.steerer.UpdateEvacuations(w.now, s)
-			w.flushBalancer(b)
+			b.steerer.UpdateEvacuations(sim.now, s)
+			sim.flushBalancer(b)
 		}
 	})
 }
 
 // restartBalancer restarts a balancer that sends its owners to the others first.
-func (w *simulation) restartBalancer(b *simBalancer) {
+func (sim *simulation) restartBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
-	owners := b.steerer.Owners(w.now)
-	for _, other := range w.balancers {
+	owners := b.steerer.Owners(sim.now)
+	for _, other := range sim.balancers {
 		if other != b && other.domain == b.domain && other.up {
-			other.steerer.Inherit(w.now, owners)
+			other.steerer.AddOwners(sim.now, owners)
 		}
 	}
 	b.up = false
-	w.schedule(w.restartAfter(true), func() { w.startBalancer(b) })
+	sim.schedule(sim.restartAfter(true), func() { sim.startBalancer(b) })
 }
 
-func (w *simulation) killBalancer(b *simBalancer) {
+func (sim *simulation) killBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
-	d := clock.Millis(500 + w.random.IntN(3000))
+	d := clock.Millis(500 + sim.random.IntN(3000))
 	b.up = false
-	b.extend(w.now + d)
-	w.schedule(d, func() { w.startBalancer(b) })
+	b.extend(sim.now + d)
+	sim.schedule(d, func() { sim.startBalancer(b) })
 }
 
 // freezeBalancer pauses a balancer's process for a while.
-func (w *simulation) freezeBalancer(b *simBalancer) {
+func (sim *simulation) freezeBalancer(b *simBalancer) {
 	if !b.up {
 		return
 	}
-	d := clock.Millis(1000 + w.random.IntN(4000))
+	d := clock.Millis(1000 + sim.random.IntN(4000))
 	b.up = false
-	b.extend(w.now + d)
+	b.extend(sim.now + d)
 	frozen := b.steerer
-	w.schedule(d, func() {
+	sim.schedule(d, func() {
 		if b.steerer != frozen || b.up {
 			return
 		}
@@ -172,10 +172,10 @@
 		var tick func()
 		tick = func() {
 			if b.steerer == frozen && b.up {
-				frozen.Tick(w.now)
-				w.updateSettled(b)
-				w.flushBalancer(b)
-				w.schedule(20, tick)
+				frozen.Tick(sim.now)
+				sim.updateSettled(b)
+				sim.flushBalancer(b)
+				sim.schedule(20, tick)
 			}
 		}
 		tick()
@@ -184,120 +184,120 @@
 
 // restartAfter returns the delay until a process is restarted: under a second,
 // occasionally almost none or, after a fault, many seconds.
-func (w *simulation) restartAfter(planned bool) clock.Millis {
-	switch w.random.IntN(8) {
+func (sim *simulation) restartAfter(planned bool) clock.Millis {
+	switch sim.random.IntN(8) {
 	case 0:
-		return clock.Millis(10 + w.random.IntN(100))
+		return clock.Millis(10 + sim.random.IntN(100))
 	case 1:
 		if !planned {
-			return clock.Millis(1000 + w.random.IntN(9000))
+			return clock.Millis(1000 + sim.random.IntN(9000))
 		}
 	}
-	return clock.Millis(100 + w.random.IntN(500))
+	return clock.Millis(100 + sim.random.IntN(500))
 }
 
 // restartAgent starts a new agent process beside the same target.
-func (w *simulation) restartAgent(a *simAgent, planned bool) {
+func (sim *simulation) restartAgent(a *simAgent, planned bool) {
 	if !a.up {
 		return
 	}
 	if planned {
-		a.tracker.Stop(w.now)
+		a.tracker.Stop(sim.now)
 		var all []netip.AddrPort
-		for _, b := range w.balancers {
+		for _, b := range sim.balancers {
 			all = append(all, b.address)
 		}
-		a.tracker.SendReport(w.now, all)
-		w.flushAgent(a)
+		a.tracker.SendReport(sim.now, all)
+		sim.flushAgent(a)
 	}
 	a.up = false
-	w.schedule(w.restartAfter(planned), func() {
+	sim.schedule(sim.restartAfter(planned), func() {
 		if !planned {
-			a.extend(w.now)
+			a.extend(sim.now)
 		}
 		if !a.up {
-			w.startAgent(a)
+			sim.startAgent(a)
 		}
 	})
 }
 
 // drainTarget drains and stops a target, and starts another one beside the same
 // agent.
-func (w *simulation) drainTarget(a *simAgent) {
+func (sim *simulation) drainTarget(a *simAgent) {
 	t := a.target
 	if !t.alive || t.draining {
 		return
 	}
 	t.draining = true
-	w.schedule(6*clock.Second, func() {
+	sim.schedule(6*clock.Second, func() {
 		if !t.alive {
 			return
 		}
 		t.alive = false
 		if a.up {
-			a.tracker.RecordLeave(w.now)
-			w.flushAgent(a)
+			a.tracker.RecordLeave(sim.now)
+			sim.flushAgent(a)
 		}
-		w.schedule(500, func() { w.startTarget(a) })
+		sim.schedule(500, func() { sim.startTarget(a) })
 	})
 }
 
-func (w *simulation) crashTarget(a *simAgent) {
+func (sim *simulation) crashTarget(a *simAgent) {
 	if !a.target.alive {
 		return
 	}
-	a.extend(w.now)
+	a.extend(sim.now)
 	a.target.alive = false
-	w.schedule(clock.Millis(200+w.random.IntN(3000)), func() {
+	sim.schedule(clock.Millis(200+sim.random.IntN(3000)), func() {
 		if !a.target.alive {
-			w.startTarget(a)
+			sim.startTarget(a)
 		}
 	})
 }
 
 // failRequests makes a target fail all requests for a while, with heartbeats as
 // before.
-func (w *simulation) failRequests(a *simAgent) {
+func (sim *simulation) failRequests(a *simAgent) {
 	t := a.target
-	t.failsUntil, t.unresponsive = w.now+clock.Millis(2000+w.random.IntN(6000)), w.random.IntN(2) == 0
+	t.failsUntil, t.unresponsive = sim.now+clock.Millis(2000+sim.random.IntN(6000)), sim.random.IntN(2) == 0
 }
 
 // loseVM removes agent and target; replacements start later.
-func (w *simulation) loseVM(a *simAgent) {
+func (sim *simulation) loseVM(a *simAgent) {
 	if !a.up || !a.target.alive {
 		return
 	}
-	d := clock.Millis(1000 + w.random.IntN(4000))
-	a.extend(w.now + d)
+	d := clock.Millis(1000 + sim.random.IntN(4000))
+	a.extend(sim.now + d)
 	a.up, a.target.alive = false, false
-	w.schedule(d, func() {
-		w.startTarget(a)
-		w.startAgent(a)
+	sim.schedule(d, func() {
+		sim.startTarget(a)
+		sim.startAgent(a)
 	})
 }
 
-func (w *simulation) blockPath(b *simBalancer, a *simAgent) {
+func (sim *simulation) blockPath(b *simBalancer, a *simAgent) {
 	both := [][2]netip.AddrPort{{b.address, a.address}, {a.address, b.address}}
 	for _, path := range both {
-		w.blocked[path] = true
+		sim.blocked[path] = true
 	}
-	d := clock.Millis(1000 + w.random.IntN(4000))
-	a.extend(w.now + d)
-	b.extend(w.now + d)
-	w.schedule(d, func() {
+	d := clock.Millis(1000 + sim.random.IntN(4000))
+	a.extend(sim.now + d)
+	b.extend(sim.now + d)
+	sim.schedule(d, func() {
 		for _, path := range both {
-			delete(w.blocked, path)
+			delete(sim.blocked, path)
 		}
 	})
 }
 
 // killAllProcesses kills all balancers and agents; the targets stay alive.
-func (w *simulation) killAllProcesses() {
-	for _, b := range w.balancers {
-		w.killBalancer(b)
+func (sim *simulation) killAllProcesses() {
+	for _, b := range sim.balancers {
+		sim.killBalancer(b)
 	}
-	for _, a := range w.agents {
-		a.extend(w.now)
-		w.restartAgent(a, false)
+	for _, a := range sim.agents {
+		a.extend(sim.now)
+		sim.restartAgent(a, false)
 	}
 }
--- a/internal/connection/stream/heartbeat_test.go
+++ b/internal/connection/stream/heartbeat_test.go
@@ -43,9 +43,9 @@
 	openFlow(tr, testNow+100, 1)
 	tr.HandleHeartbeat(testNow+1200, Heartbeat{Service: "one", Born: 500, Sequence: 2, Age: 1210, Slots: 4})
 	openFlow(tr, testNow+1500, 2)
-	tr.Take()
+	tr.TakeOutcome()
 	tr.HandleHeartbeat(testNow+9000, Heartbeat{Service: "one", Born: 2500, Sequence: 3, Age: 7800, Slots: 4})
-	resets := tr.Take().Resets
+	resets := tr.TakeOutcome().Resets
 	if len(resets) != 1 || resets[0].Flow != callerFlow(1) {
 		t.Errorf("resets %v, want the flow that was opened before the last heartbeat", resets)
 	}
--- a/internal/connection/stream/outcome.go
+++ b/internal/connection/stream/outcome.go
@@ -20,10 +20,10 @@
 	Seq  uint32
 }
 
-// Delivery is a packet to deliver to the target, marked with Echo.
+// Delivery is a packet to deliver to the target, with the mark to set in it.
 type Delivery struct {
 	Packet []byte
-	Echo   uint32
+	Mark   uint32
 }
 
 // EventKind is the name of a decision in logs and counters.
--- a/internal/connection/stream/outlier_test.go
+++ b/internal/connection/stream/outlier_test.go
@@ -55,9 +55,9 @@
 func (f *scriptedTarget) openAndRequest() (netip.AddrPort, bool) {
 	f.port++
 	c := testAddress(100, int(f.port))
-	f.tracker.Take()
+	f.tracker.TakeOutcome()
 	f.sendFromCaller(c, wire.Verb_VERB_OPEN, segment.Segment{Flags: segment.Opens})
-	if len(f.tracker.Take().Deliveries) == 0 {
+	if len(f.tracker.TakeOutcome().Deliveries) == 0 {
 		return c, false
 	}
 	f.sendFromTarget(c, segment.Segment{Flags: segment.Opens | segment.Acks, Seq: 5})
--- a/internal/connection/stream/owners.go
+++ b/internal/connection/stream/owners.go
@@ -38,9 +38,9 @@
 	return all
 }
 
-// Inherit adds owners that another balancer knew and returns how many were added. Flows
+// AddOwners adds owners that another balancer knew and returns how many were added. Flows
 // that are already in the table are not changed.
-func (s *Steerer) Inherit(now clock.Millis, owners []*wire.Owner) int {
+func (s *Steerer) AddOwners(now clock.Millis, owners []*wire.Owner) int {
 	added := 0
 	for _, o := range owners {
 		id, err := segment.ParseFlow(o.Flow)
--- a/internal/connection/stream/ownership_test.go
+++ b/internal/connection/stream/ownership_test.go
@@ -35,7 +35,7 @@
 			}
 			fillSearches(s, testNow+2)
 			c.lose(s, testNow+3, packet)
-			s.Take()
+			s.TakeOutcome()
 			if got := s.Owners(testNow + 4); len(got) != 0 {
 				t.Errorf("owners sent: %v", got)
 			}
@@ -51,7 +51,7 @@
 	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_OWNED)
 	other := NewSteerer(0, Settings{Domain: "a", MaxFlows: 100, FlowTTL: testFlowTTL})
 	later := testNow + clock.Second
-	if got := other.Inherit(later, s.Owners(later)); got != 1 {
+	if got := other.AddOwners(later, s.Owners(later)); got != 1 {
 		t.Fatalf("%d flows inherited", got)
 	}
 	if got := len(other.Owners(later + inheritedTTL)); got != 1 {
@@ -81,6 +81,6 @@
 			Source: testAddress(100, i), Destination: testListener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100,
 		})
 		s.HandlePacket(now, decode(packet), packet)
-		s.Take()
+		s.TakeOutcome()
 	}
 }
--- a/internal/connection/stream/parcels_test.go
+++ b/internal/connection/stream/parcels_test.go
@@ -131,14 +131,14 @@
 				s.Tick(now)
 				s.Summary(now, 1, 1, true)
 			case 2:
-				s.Inherit(now, r.owners())
+				s.AddOwners(now, r.owners())
 				s.Owners(now)
 			case 3:
 				s.HandleSummary(now, r.summary())
 			default:
 				s.HandleParcel(now, testAddress(2, r.IntN(60)), p, seg)
 			}
-			for _, send := range s.Take().Sends {
+			for _, send := range s.TakeOutcome().Sends {
 				if !send.To.IsValid() {
 					t.Fatalf("seed %d: parcel of verb %s without a destination", seed, send.Parcel.Verb)
 				}
@@ -184,7 +184,7 @@
 			default:
 				tr.HandleParcel(now, testAddress(1, r.IntN(5)), p, seg)
 			}
-			for _, send := range tr.Take().Sends {
+			for _, send := range tr.TakeOutcome().Sends {
 				if !send.To.IsValid() {
 					t.Fatalf("seed %d: parcel of verb %s without a destination", seed, send.Parcel.Verb)
 				}
--- a/internal/connection/stream/queue_test.go
+++ b/internal/connection/stream/queue_test.go
@@ -19,7 +19,7 @@
 // countOpenings counts the opening packets that a balancer has sent to targets.
 func countOpenings(s *Steerer) int {
 	n := 0
-	for _, send := range s.Take().Sends {
+	for _, send := range s.TakeOutcome().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_OPEN {
 			n++
 		}
@@ -90,7 +90,7 @@
 	packet := encode(segment.Segment{Source: id.Caller, Destination: id.Listener, Flags: segment.Opens})
 	s.HandlePacket(testNow+10, decode(packet), packet)
 	s.SetTable(testNow+60, newTestTable(t))
-	if resets := s.Take().Resets; len(resets) != 1 || resets[0].Flow != id {
+	if resets := s.TakeOutcome().Resets; len(resets) != 1 || resets[0].Flow != id {
 		t.Errorf("resets %v", resets)
 	}
 }
--- a/internal/connection/stream/handon_test.go
+++ b/internal/connection/stream/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// alwaysSearching is an isSearched function for searches that never end.
+// alwaysSearching is an isSearching function for searches that never end.
 func alwaysSearching(segment.Flow) bool { return true }
 
 var testRelay = testAddress(1, 9)
@@ -28,7 +28,7 @@
 	for _, part := range relay.Summary(testNow, 1, 1, true) {
 		s.HandleSummary(testNow, part)
 	}
-	s.Take()
+	s.TakeOutcome()
 	sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
 	s.Tick(testNow + 10)
 	return s, relay
@@ -36,7 +36,7 @@
 
 func sentQuestions(s *Steerer) map[netip.AddrPort]*wire.Parcel {
 	all := map[netip.AddrPort]*wire.Parcel{}
-	for _, send := range s.Take().Sends {
+	for _, send := range s.TakeOutcome().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_ASK {
 			all[send.To] = send.Parcel
 		}
@@ -64,7 +64,7 @@
 	for at, p := range forwarded {
 		h := NewTracker(0, TrackerSettings{Service: "one", Port: simPort, MaxFlows: 10, FlowTTL: testFlowTTL})
 		h.HandleParcel(testNow+15, testRelay, p, nil)
-		out := h.Take().Sends
+		out := h.TakeOutcome().Sends
 		if len(out) != 1 || out[0].To != asker {
 			t.Fatalf("the agent answers %v", out)
 		}
@@ -76,7 +76,7 @@
 	}
 	s.SetSettled(true)
 	s.Tick(testNow + 20)
-	if out := s.Take(); len(out.Resets) != 1 {
+	if out := s.TakeOutcome(); len(out.Resets) != 1 {
 		t.Errorf("every target has denied the flow, but %d resets were sent, want 1", len(out.Resets))
 	}
 }
--- a/internal/connection/stream/report.go
+++ b/internal/connection/stream/report.go
@@ -18,7 +18,7 @@
 const latencyWeight = 0.05
 
 // ConditionChanged reports whether the target's condition has changed since the last call.
-// Balancers must be told at once, since it decides whether they send new flows.
+// Balancers must be notified at once, since it decides whether they send new flows.
 func (tr *Tracker) ConditionChanged(now clock.Millis) bool {
 	c := tr.condition(now)
 	turned := c != tr.reportedCondition
@@ -111,17 +111,17 @@
 // domain.
 //
 // While a failure domain is evacuated its targets get no openings and may become slow
-// again. They count as slow after the order is withdrawn until their next heartbeat.
+// again. They count as slow after the evacuation ends until their next heartbeat.
 func (tr *Tracker) updateEvacuation(now clock.Millis, probe *wire.Report) {
-	if !tr.gate.Update(probe.Orders, probe.Evacuated) {
+	if !tr.domainStatus.Update(probe.Orders, probe.Evacuated) {
 		return
 	}
 	reason := "evacuated"
-	if !tr.gate.Evacuated {
+	if !tr.domainStatus.Evacuated {
 		reason = "no longer evacuated"
 		tr.upstream.coldUntil = max(tr.upstream.coldUntil, now+tr.settings.Heartbeat+heartbeatSlack)
 	}
-	tr.out.record(Event{Kind: Evacuation, Service: tr.settings.Service, Reason: reason, Version: tr.gate.Revision})
+	tr.out.record(Event{Kind: Evacuation, Service: tr.settings.Service, Reason: reason, Version: tr.domainStatus.Revision})
 }
 
 // SendReport sends an unsolicited report to balancers.
--- a/internal/connection/stream/restore.go
+++ b/internal/connection/stream/restore.go
@@ -33,7 +33,7 @@
 	// keeper is the balancer that stores the checkpoints of this failure domain.
 	keeper        netip.AddrPort
 	keeperHeardAt clock.Millis
-	writer        *checkpoint.Sender
+	sender        *checkpoint.Sender
 }
 
 // checkpointEntry returns the target's open flows, least recently used first.
@@ -57,14 +57,14 @@
 func (tr *Tracker) sendCheckpoint(now clock.Millis) {
 	c, u := &tr.checkpoints, &tr.upstream
 	judged := c.loaded && c.previous == nil && len(c.lostFlows) == 0
-	if !c.enabled || !judged || !u.known || u.born == 0 || u.gone || now.Sub(c.keeperHeardAt) > keeperTimeout || !c.writer.Due(now) {
+	if !c.enabled || !judged || !u.known || u.born == 0 || u.gone || now.Sub(c.keeperHeardAt) > keeperTimeout || !c.sender.Due(now) {
 		return
 	}
 	e := tr.checkpointEntry()
-	if !c.writer.NeedsSend(&e) {
+	if !c.sender.NeedsSend(&e) {
 		return
 	}
-	for _, part := range c.writer.Parts(&e) {
+	for _, part := range c.sender.Parts(&e) {
 		tr.out.send(c.keeper, &wire.Parcel{Verb: wire.Verb_VERB_KEEP, Checkpoint: part})
 	}
 }
@@ -72,7 +72,7 @@
 // handleKept handles the keeper's acknowledgement that a checkpoint is stored.
 func (tr *Tracker) handleKept(p *wire.Parcel) {
 	if p.Checkpoint != nil {
-		tr.checkpoints.writer.Acknowledge(p.Checkpoint.Number, clock.Millis(p.Checkpoint.Pause))
+		tr.checkpoints.sender.Acknowledge(p.Checkpoint.Number, clock.Millis(p.Checkpoint.Pause))
 	}
 }
 
--- a/internal/connection/stream/restore_test.go
+++ b/internal/connection/stream/restore_test.go
@@ -64,7 +64,7 @@
 			sendHeartbeat(tr, testNow+5, 900, 2)
 			tr.Restore(testNow+20, testWallClock, previousEntry(3))
 		}
-		resets := tr.Take().Resets
+		resets := tr.TakeOutcome().Resets
 		if len(resets) != 3 || resets[1] != (Reset{Flow: callerFlow(1), Seq: 1001}) {
 			t.Errorf("entry first %v: resets %v", entryFirst, resets)
 		}
@@ -82,7 +82,7 @@
 	sendHeartbeat(tr, testNow+5, 900, 1)
 	total := 0
 	for i := range clock.Millis(4) {
-		n := len(tr.Take().Resets)
+		n := len(tr.TakeOutcome().Resets)
 		if n > maxResetsPerTick {
 			t.Errorf("%d resets at once", n)
 		}
@@ -101,9 +101,9 @@
 	sendHeartbeat(tr, testNow+5, 900, 1)
 	s := segment.Segment{Source: callerFlow(1).Caller, Destination: testListener, Flags: segment.Opens}
 	tr.HandleParcel(testNow+10, testAddress(1, 0), &wire.Parcel{Verb: wire.Verb_VERB_OPEN, Service: "one", Packet: encode(s)}, &s)
-	tr.Take()
+	tr.TakeOutcome()
 	tr.Restore(testNow+20, testWallClock, previousEntry(3))
-	for _, r := range tr.Take().Resets {
+	for _, r := range tr.TakeOutcome().Resets {
 		if r.Flow == callerFlow(1) {
 			t.Error("a flow that was opened again is reset")
 		}
@@ -116,7 +116,7 @@
 	tr := newRestartedTracker()
 	tr.Restore(testNow, testWallClock, previousEntry(3))
 	sendHeartbeat(tr, testNow+5, 500, 80)
-	if resets := tr.Take().Resets; len(resets) != 0 {
+	if resets := tr.TakeOutcome().Resets; len(resets) != 0 {
 		t.Errorf("resets %v", resets)
 	}
 	for _, i := range []int{1, 7} {
@@ -160,10 +160,10 @@
 	sendHeartbeat(tr, testNow+1200, 500, 81)
 	sent := func(now clock.Millis) int {
 		tr.HandleParcel(now, testAddress(1, 0), probe, nil)
-		tr.Take()
+		tr.TakeOutcome()
 		tr.Tick(now)
 		parts := 0
-		for _, s := range tr.Take().Sends {
+		for _, s := range tr.TakeOutcome().Sends {
 			if s.Parcel.Verb == wire.Verb_VERB_KEEP {
 				parts++
 			}
@@ -201,9 +201,9 @@
 	tr.HandleParcel(testNow+20, testAddress(1, 0), &wire.Parcel{
 		Verb: wire.Verb_VERB_PROBE, Report: &wire.Report{Probe: 1, Keeper: true},
 	}, nil)
-	tr.Take()
+	tr.TakeOutcome()
 	tr.Tick(testNow + 30)
-	for _, s := range tr.Take().Sends {
+	for _, s := range tr.TakeOutcome().Sends {
 		if s.Parcel.Verb == wire.Verb_VERB_KEEP {
 			t.Error("a checkpoint is sent before there is a verdict on the earlier one")
 		}
--- a/internal/connection/stream/search_test.go
+++ b/internal/connection/stream/search_test.go
@@ -49,7 +49,7 @@
 // countSends counts the parcels sent since the last call by verb and target.
 func countSends(s *Steerer) map[wire.Verb]map[netip.AddrPort]int {
 	all := map[wire.Verb]map[netip.AddrPort]int{}
-	for _, send := range s.Take().Sends {
+	for _, send := range s.TakeOutcome().Sends {
 		v := send.Parcel.Verb
 		if all[v] == nil {
 			all[v] = map[netip.AddrPort]int{}
@@ -136,7 +136,7 @@
 		s.SetSettled(settled)
 		sendAnswer(s, testNow+1, 0, wire.Holding_HOLDING_NOT)
 		sendAnswer(s, testNow+5, 1, wire.Holding_HOLDING_NOT)
-		out := s.Take()
+		out := s.TakeOutcome()
 		if (len(out.Resets) == 1) != settled {
 			t.Errorf("settled %v: resets %v", settled, out.Resets)
 		}
@@ -151,7 +151,7 @@
 	sendAnswer(s, testNow+1, 1, wire.Holding_HOLDING_NOT)
 	later := testNow + searchTimeout + 100
 	s.Tick(later)
-	s.Take()
+	s.TakeOutcome()
 	s.HandleParcel(later, testAddress(2, 1), &wire.Parcel{Verb: wire.Verb_VERB_REPORT, Report: &wire.Report{
 		Name: "t1", Domain: "a", Service: "one", Epoch: 2, Sequence: 1, Born: 1,
 		Condition: wire.Condition_CONDITION_READY, Slots: 4,
@@ -168,7 +168,7 @@
 func TestSpeculationWithinBudget(t *testing.T) {
 	const targets, flows = 20, 200
 	s, _ := newSearchingSteerer(t, targets, 0)
-	s.Take()
+	s.TakeOutcome()
 	id := func(i int) segment.Flow {
 		return segment.Flow{Caller: netip.AddrPortFrom(testFlow.Caller.Addr(), uint16(2000+i)), Listener: testListener}
 	}
@@ -194,11 +194,11 @@
 				Verb: wire.Verb_VERB_ANSWER, Flow: segment.AppendFlow(nil, id(i)), Holding: wire.Holding_HOLDING_UNSURE,
 			}, nil)
 		}
-		count(s.Take())
+		count(s.TakeOutcome())
 	}
 	for at := testNow; at <= testNow+500; at += 10 {
 		s.Tick(at)
-		count(s.Take())
+		count(s.TakeOutcome())
 	}
 	if limit := int(speculativeBurst + speculativeRate/2); total > limit || total < limit*9/10 {
 		t.Errorf("%d packets were forwarded in half a second, want up to %d", total, limit)
@@ -227,7 +227,7 @@
 		Name: "t2", Domain: "a", Service: "one", Epoch: 1, Sequence: 1, Born: 1,
 		Condition: wire.Condition_CONDITION_READY, Slots: 4,
 	}}, nil)
-	s.Take()
+	s.TakeOutcome()
 	packet := dataPacket(5000)
 	s.HandlePacket(now, decode(packet), packet)
 	if asked := countSends(s)[wire.Verb_VERB_ASK]; asked[lost] != 0 || len(asked) != 2 {
@@ -235,7 +235,7 @@
 	}
 	sendAnswer(s, now+1, 0, wire.Holding_HOLDING_NOT)
 	sendAnswer(s, now+2, 2, wire.Holding_HOLDING_NOT)
-	if resets := s.Take().Resets; len(resets) != 1 {
+	if resets := s.TakeOutcome().Resets; len(resets) != 1 {
 		t.Errorf("after all others have denied the flow there are %d resets", len(resets))
 	}
 }
@@ -245,7 +245,7 @@
 // in half a second, at most one datagram to each target for ten flows.
 func TestQuestionsAreBatchedUnderLoad(t *testing.T) {
 	s, _ := newSearchingSteerer(t, 3, 0)
-	s.Take()
+	s.TakeOutcome()
 	const flows = 500
 	asked := 0
 	for i := range flows {
@@ -267,7 +267,7 @@
 	const local, remote, flows, share = 41, 163, 40, 60
 	s, _ := newSearchingSteerer(t, local, remote)
 	s.questions = newQuestions(share, s.isSearching)
-	s.Take()
+	s.TakeOutcome()
 	ask := func(i int, now clock.Millis) {
 		packet := encode(segment.Segment{
 			Source: testAddress(100, i), Destination: testListener, Flags: segment.Acks, Seq: 1, Ack: 9, Size: 100,
@@ -285,7 +285,7 @@
 			ask(i, now)
 		}
 		s.Tick(now)
-		for _, send := range s.Take().Sends {
+		for _, send := range s.TakeOutcome().Sends {
 			if send.Parcel.Verb != wire.Verb_VERB_ASK {
 				continue
 			}
@@ -326,7 +326,7 @@
 			now++
 			s.Tick(now)
 		}
-		s.Take()
+		s.TakeOutcome()
 		if len(s.searches) > s.searchLimit() || len(s.failedSearches) > s.searchLimit() || s.bufferedBytes > maxBufferedBytes {
 			t.Fatalf("%d searches, %d failed searches, %d bytes are kept", len(s.searches), len(s.failedSearches), s.bufferedBytes)
 		}
@@ -361,7 +361,7 @@
 			now++
 			s.Tick(now)
 		}
-		for _, send := range s.Take().Sends {
+		for _, send := range s.TakeOutcome().Sends {
 			eachQuestion(send.Parcel.Questions, func(id segment.Flow, _ uint32) {
 				if !s.isSearching(id) {
 					stale++
--- a/internal/connection/stream/steer.go
+++ b/internal/connection/stream/steer.go
@@ -108,8 +108,8 @@
 	return s
 }
 
-// Take returns the actions collected since the last call.
-func (s *Steerer) Take() Outcome {
+// TakeOutcome returns and clears the actions collected since the last call.
+func (s *Steerer) TakeOutcome() Outcome {
 	out := s.out
 	s.out = Outcome{}
 	return out
@@ -217,9 +217,9 @@
 	s.out.send(agent, &wire.Parcel{Verb: wire.Verb_VERB_CARRY, Service: f.service, Packet: packet})
 }
 
-// mayReset reports whether this balancer may reset flows at their callers: it hears
-// most targets, so it is not itself partitioned, and it knows all targets that other
-// balancers know.
+// mayReset reports whether this balancer may reset flows at their callers: it receives
+// reports from most targets, so it is not itself partitioned, and it knows all targets
+// that other balancers know.
 func (s *Steerer) mayReset(now clock.Millis) bool {
 	answering, all := s.Targets.Answering(now)
 	return s.settled && 2*answering > all
--- a/internal/connection/stream/summary.go
+++ b/internal/connection/stream/summary.go
@@ -50,7 +50,7 @@
 	relayHeardAt clock.Millis
 }
 
-// urgent reports whether remote balancers must be told at once.
+// urgent reports whether remote balancers must be notified at once.
 func (c TargetChange) urgent() bool {
 	return c.New || c.Restarted || c.Left || c.Condition
 }
@@ -244,7 +244,7 @@
 	}
 }
 
-// HasChanges reports whether remote balancers must be told at once of a change of a local
+// HasChanges reports whether remote balancers must be notified at once of a change of a local
 // target.
 func (s *Steerer) HasChanges() bool {
 	return len(s.changes) > 0
@@ -272,7 +272,7 @@
 }
 
 // Summary returns a full summary of the local failure domain, in parts. number is its
-// number, and complete tells that this balancer knows all targets there.
+// number, and complete reports whether this balancer knows all targets there.
 func (s *Steerer) Summary(now clock.Millis, epoch uint64, number uint32, complete bool) []*wire.Summary {
 	s.changes = nil
 	entries := s.Targets.summarize(now)
--- a/internal/connection/stream/summary_test.go
+++ b/internal/connection/stream/summary_test.go
@@ -169,7 +169,7 @@
 	s.HandleSummary(testNow+10, changeSummary(0, readyReport(2, 1), 0))
 	s.Tick(testNow + 20)
 	var probes []*wire.Report
-	for _, send := range s.Take().Sends {
+	for _, send := range s.TakeOutcome().Sends {
 		if send.Parcel.Verb == wire.Verb_VERB_PROBE {
 			probes = append(probes, send.Parcel.Report)
 		}
--- a/internal/connection/stream/target.go
+++ b/internal/connection/stream/target.go
@@ -55,7 +55,7 @@
 	respondingAt   clock.Millis
 	unresponsiveAt clock.Millis
 	// previous is the agent's process before the current one. previousUnreported is set
-	// while the current one has not yet been told of it in a probe.
+	// until a probe has reported it to the current one.
 	previous           process
 	previousUnreported bool
 	// lastProbe is when the last probe was sent, with number probeNumber; unansweredSince
--- a/internal/connection/stream/trace_test.go
+++ b/internal/connection/stream/trace_test.go
@@ -15,15 +15,15 @@
 	if err != nil {
 		return
 	}
-	w := newFaultySimulation(t, uint64(seed))
-	w.trace = func(who string, events []Event) {
+	sim := newFaultySimulation(t, uint64(seed))
+	sim.trace = func(who string, events []Event) {
 		for _, e := range events {
 			fmt.Printf("%8.3f %-16s %-10s %v %v %s %s %d\n",
-				float64(w.now-24*clock.Hour)/1000, who, e.Kind, e.Flow, e.Target, e.Service, e.Reason, e.Count)
+				float64(sim.now-24*clock.Hour)/1000, who, e.Kind, e.Flow, e.Target, e.Service, e.Reason, e.Count)
 		}
 	}
-	w.run(60 * clock.Second)
-	for _, f := range w.failures {
+	sim.run(60 * clock.Second)
+	for _, f := range sim.failures {
 		t.Error(f)
 	}
 }
--- a/internal/connection/stream/tracker.go
+++ b/internal/connection/stream/tracker.go
@@ -25,7 +25,7 @@
 	Service string
 	// Epoch is the start time of this process.
 	Epoch uint64
-	// Port is where balancers receive parcels; the echo of a returned packet holds only the
+	// Port is where balancers receive parcels; the mark of a returned packet holds only the
 	// address.
 	Port uint16
 	// MaxFlows bounds the number of tracked flows.
@@ -79,11 +79,11 @@
 	denied      *simplelru.LRU[segment.Flow, struct{}]
 	upstream    upstream
 	checkpoints checkpointState
-	// gate is closed while the failure domain is evacuated. window limits openings to
+	// domainStatus holds whether the failure domain is evacuated. window limits openings to
 	// warmingRate a second while the target is slow after its start.
-	gate        evacuation.DomainStatus
-	window      admission.Limiter
-	warmingRate int
+	domainStatus evacuation.DomainStatus
+	window       admission.Limiter
+	warmingRate  int
 	// reportedCondition is the target's condition last reported to balancers.
 	reportedCondition wire.Condition
 	sequence          uint64
@@ -101,14 +101,14 @@
 // NewTracker returns a Tracker without any state of its target.
 func NewTracker(now clock.Millis, settings TrackerSettings) *Tracker {
 	tr := &Tracker{settings: settings, startedAt: now, busyFlows: map[segment.Flow]*trackedFlow{}}
-	tr.checkpoints = checkpointState{enabled: settings.Checkpoint, writer: checkpoint.NewSender()}
+	tr.checkpoints = checkpointState{enabled: settings.Checkpoint, sender: checkpoint.NewSender()}
 	tr.flows, _ = simplelru.NewLRU(max(settings.MaxFlows, 1), func(id segment.Flow, _ *trackedFlow) { delete(tr.busyFlows, id) })
 	tr.denied, _ = simplelru.NewLRU[segment.Flow, struct{}](max(settings.MaxFlows, 1), nil)
 	return tr
 }
 
-// Take returns the actions and events collected since the last call.
-func (tr *Tracker) Take() Outcome {
+// TakeOutcome returns and clears the actions and events collected since the last call.
+func (tr *Tracker) TakeOutcome() Outcome {
 	out := tr.out
 	tr.out = Outcome{}
 	return out
@@ -174,7 +174,7 @@
 	switch {
 	case !tr.Accepting(now):
 		return wire.Cause_CAUSE_CLOSED
-	case tr.gate.Evacuated:
+	case tr.domainStatus.Evacuated:
 		return wire.Cause_CAUSE_EVACUATED
 	case warming && tr.window.Remaining(now, rate) == 0:
 		return wire.Cause_CAUSE_WARMING
@@ -192,19 +192,19 @@
 }
 
 func (tr *Tracker) deliver(from netip.AddrPort, packet []byte) {
-	tr.out.Deliveries = append(tr.out.Deliveries, Delivery{Packet: packet, Echo: echoOf(from)})
+	tr.out.Deliveries = append(tr.out.Deliveries, Delivery{Packet: packet, Mark: markOf(from)})
 }
 
-// echoOf returns the echo for packets from a balancer: its address, which is enough to
+// markOf returns the mark for packets from a balancer: its address, which is enough to
 // return a packet, even after a restart of the agent.
-func echoOf(from netip.AddrPort) uint32 {
+func markOf(from netip.AddrPort) uint32 {
 	ip := from.Addr().As4()
 	return binary.BigEndian.Uint32(ip[:])
 }
 
-func (tr *Tracker) balancerOf(echo uint32) netip.AddrPort {
+func (tr *Tracker) balancerOf(mark uint32) netip.AddrPort {
 	var ip [4]byte
-	binary.BigEndian.PutUint32(ip[:], echo)
+	binary.BigEndian.PutUint32(ip[:], mark)
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), tr.settings.Port)
 }
 
@@ -314,7 +314,7 @@
 }
 
 // handleReturn sends a packet that the target did not accept back to the balancer named in
-// its echo. It does not show that the target is alive: without a target process, the VM
+// its mark. It does not show that the target is alive: without a target process, the VM
 // returns packets sent to its address.
 func (tr *Tracker) handleReturn(now clock.Millis, seg *segment.Segment, packet []byte) {
 	tr.upstream.pendingSince = 0
--- a/internal/connection/stream/world_test.go
+++ b/internal/connection/stream/world_test.go
@@ -84,9 +84,9 @@
 	trace func(who string, events []Event)
 }
 
-func (w *simulation) traceEvents(who netip.AddrPort, events []Event) {
-	if w.trace != nil && len(events) > 0 {
-		w.trace(who.String(), events)
+func (sim *simulation) traceEvents(who netip.AddrPort, events []Event) {
+	if sim.trace != nil && len(events) > 0 {
+		sim.trace(who.String(), events)
 	}
 }
 
@@ -155,17 +155,17 @@
 }
 
 func newSimulation(t testing.TB, seed uint64, balancers, agents, callers int) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: 24 * clock.Hour,
 		blocked: map[[2]netip.AddrPort]bool{}, allowed: map[string]bool{},
 		objects:   map[string]*simObject{},
 		snapshots: []evacuation.Snapshot{evacuation.New(1, nil)}, evacuated: map[string]clock.Millis{},
 	}
-	w.setTable(1, "one")
+	sim.setTable(1, "one")
 	for i := range balancers {
 		b := &simBalancer{address: testAddress(1, i), domain: fmt.Sprint("zone-", i%3)}
-		w.balancers = append(w.balancers, b)
-		w.startBalancer(b)
+		sim.balancers = append(sim.balancers, b)
+		sim.startBalancer(b)
 	}
 	for i := range agents {
 		service := "one"
@@ -173,16 +173,16 @@
 			service = "two"
 		}
 		a := &simAgent{address: testAddress(2, i), domain: fmt.Sprint("zone-", i%3), service: service}
-		w.agents = append(w.agents, a)
-		w.startTarget(a)
-		w.startAgent(a)
+		sim.agents = append(sim.agents, a)
+		sim.startTarget(a)
+		sim.startAgent(a)
 	}
 	for i := range callers {
 		c := &simCaller{ip: netip.AddrFrom4([4]byte{100, 64, 0, byte(i + 1)}), port: 1000}
-		w.callers = append(w.callers, c)
-		w.schedule(clock.Millis(3000+w.random.IntN(2000)), func() { w.openFlow(c) })
+		sim.callers = append(sim.callers, c)
+		sim.schedule(clock.Millis(3000+sim.random.IntN(2000)), func() { sim.openFlow(c) })
 	}
-	return w
+	return sim
 }
 
 func testAddress(kind, i int) netip.AddrPort {
@@ -191,48 +191,48 @@
 
 var testListener = netip.MustParseAddrPort("198.18.0.1:443")
 
-func (w *simulation) setTable(version uint64, service string) {
+func (sim *simulation) setTable(version uint64, service string) {
 	t := &routing.Table{Version: version, Listeners: []routing.Listener{
 		{Name: "l", Address: testListener, Shares: []routing.Share{{Service: service, Weight: 1}}},
 	}}
 	if err := t.Check(); err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	w.table = t
-	w.allowed[service] = true
-	for _, b := range w.balancers {
-		w.schedule(clock.Millis(w.random.IntN(300)), func() { b.steerer.SetTable(w.now, t) })
+	sim.table = t
+	sim.allowed[service] = true
+	for _, b := range sim.balancers {
+		sim.schedule(clock.Millis(sim.random.IntN(300)), func() { b.steerer.SetTable(sim.now, t) })
 	}
 }
 
-func (w *simulation) schedule(d clock.Millis, action func()) {
-	w.sequence++
-	heap.Push(&w.queue, simEvent{at: w.now + d, order: w.sequence, action: action})
+func (sim *simulation) schedule(d clock.Millis, action func()) {
+	sim.sequence++
+	heap.Push(&sim.queue, simEvent{at: sim.now + d, order: sim.sequence, action: action})
 }
 
-func (w *simulation) run(until clock.Millis) {
-	end := w.now + until
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(simEvent)
-		w.now = e.at
+func (sim *simulation) run(until clock.Millis) {
+	end := sim.now + until
+	for len(sim.queue) > 0 && sim.queue[0].at <= end {
+		e := heap.Pop(&sim.queue).(simEvent)
+		sim.now = e.at
 		e.action()
 	}
-	w.now = end
+	sim.now = end
 }
 
-func (w *simulation) fail(format string, args ...any) {
-	w.failures = append(w.failures, fmt.Sprintf("%.3f ", float64(w.now-24*clock.Hour)/1000)+fmt.Sprintf(format, args...))
+func (sim *simulation) fail(format string, args ...any) {
+	sim.failures = append(sim.failures, fmt.Sprintf("%.3f ", float64(sim.now-24*clock.Hour)/1000)+fmt.Sprintf(format, args...))
 }
 
 // transmit delivers after a delay, or never, or occasionally twice, the second time late.
-func (w *simulation) transmit(from, to netip.AddrPort, deliver func()) {
-	if w.random.Float64() < simDuplicateRate {
-		w.schedule(clock.Millis(1+w.random.IntN(simDuplicateDelay)), deliver)
+func (sim *simulation) transmit(from, to netip.AddrPort, deliver func()) {
+	if sim.random.Float64() < simDuplicateRate {
+		sim.schedule(clock.Millis(1+sim.random.IntN(simDuplicateDelay)), deliver)
 	}
-	if w.random.Float64() < w.loss || w.blocked[[2]netip.AddrPort{from, to}] {
+	if sim.random.Float64() < sim.loss || sim.blocked[[2]netip.AddrPort{from, to}] {
 		return
 	}
-	w.schedule(1+clock.Millis(w.random.IntN(simMaxDelay)), deliver)
+	sim.schedule(1+clock.Millis(sim.random.IntN(simMaxDelay)), deliver)
 }
 
 // encode returns a segment as a packet, in an encoding for tests.
@@ -254,9 +254,9 @@
 	return s
 }
 
-func mark(b []byte, echo uint32, returned bool) []byte {
+func mark(b []byte, value uint32, returned bool) []byte {
 	s := decode(b)
-	s.Mark = echo
+	s.Mark = value
 	s.Flags &^= segment.Returned
 	if returned {
 		s.Flags |= segment.Returned
@@ -264,53 +264,53 @@
 	return encode(*s)
 }
 
-func (w *simulation) startBalancer(b *simBalancer) {
-	b.steerer = NewSteerer(w.now, Settings{
+func (sim *simulation) startBalancer(b *simBalancer) {
+	b.steerer = NewSteerer(sim.now, Settings{
 		Domain: b.domain, Address: b.address, AwaitEvacuations: true, MaxFlows: 10000, FlowTTL: testFlowTTL,
 	})
-	b.up, b.born, b.knowsAllSince = true, w.now, 0
-	w.sendEvacuations(b, w.snapshots[len(w.snapshots)-1])
-	b.steerer.SetTable(w.now, w.table)
+	b.up, b.born, b.knowsAllSince = true, sim.now, 0
+	sim.sendEvacuations(b, sim.snapshots[len(sim.snapshots)-1])
+	b.steerer.SetTable(sim.now, sim.table)
 	s := b.steerer
 	var tick func()
 	tick = func() {
 		if b.steerer != s || !b.up {
 			return
 		}
-		b.steerer.Tick(w.now)
-		w.updateSettled(b)
-		w.flushBalancer(b)
-		w.summarize(b)
-		w.schedule(20, tick)
+		b.steerer.Tick(sim.now)
+		sim.updateSettled(b)
+		sim.flushBalancer(b)
+		sim.summarize(b)
+		sim.schedule(20, tick)
 	}
-	w.schedule(1, tick)
-	w.runKeeper(b)
+	sim.schedule(1, tick)
+	sim.runKeeper(b)
 }
 
 // summarize simulates the relays: each balancer sends the state of its failure domain's
 // targets to those of other domains.
-func (w *simulation) summarize(b *simBalancer) {
+func (sim *simulation) summarize(b *simBalancer) {
 	b.steerer.SetRelay(true)
 	var parts []*wire.Summary
 	switch {
-	case w.now.Sub(b.summarizedAt) >= simSummaryInterval:
-		b.summarizedAt = w.now
+	case sim.now.Sub(b.summarizedAt) >= simSummaryInterval:
+		b.summarizedAt = sim.now
 		b.summaryNumber++
-		parts = b.steerer.Summary(w.now, uint64(b.born), b.summaryNumber, false)
-		w.resendEvacuations(b)
+		parts = b.steerer.Summary(sim.now, uint64(b.born), b.summaryNumber, false)
+		sim.resendEvacuations(b)
 	case b.steerer.HasChanges():
-		parts = b.steerer.Changes(w.now, false)
+		parts = b.steerer.Changes(sim.now, false)
 	}
-	for _, other := range w.balancers {
+	for _, other := range sim.balancers {
 		if other.domain == b.domain {
 			continue
 		}
 		for _, p := range parts {
 			p = copyParcel(&wire.Parcel{Summary: p}).Summary
-			w.transmit(b.address, other.address, func() {
+			sim.transmit(b.address, other.address, func() {
 				if other.up {
-					other.steerer.HandleSummary(w.now, p)
-					w.flushBalancer(other)
+					other.steerer.HandleSummary(sim.now, p)
+					sim.flushBalancer(other)
 				}
 			})
 		}
@@ -319,13 +319,13 @@
 
 // resendEvacuations simulates the balancers' periodic messages, which repeat the
 // evacuations: a process that was paused has missed some.
-func (w *simulation) resendEvacuations(b *simBalancer) {
+func (sim *simulation) resendEvacuations(b *simBalancer) {
 	s := b.steerer.Evacuations()
-	for _, other := range w.balancers {
-		w.transmit(b.address, other.address, func() {
+	for _, other := range sim.balancers {
+		sim.transmit(b.address, other.address, func() {
 			if other.up {
-				other.steerer.UpdateEvacuations(w.now, s)
-				w.flushBalancer(other)
+				other.steerer.UpdateEvacuations(sim.now, s)
+				sim.flushBalancer(other)
 			}
 		})
 	}
@@ -333,9 +333,9 @@
 
 // updateSettled simulates the balancers' exchange: a balancer is settled once it has
 // known all running agents for a while.
-func (w *simulation) updateSettled(b *simBalancer) {
-	all := w.now.Sub(b.born) > 700
-	for _, a := range w.agents {
+func (sim *simulation) updateSettled(b *simBalancer) {
+	all := sim.now.Sub(b.born) > 700
+	for _, a := range sim.agents {
 		t, ok := b.steerer.Targets.Find(a.address)
 		if a.up && !a.tracker.Gone() && (!ok || t.HeardAt == 0) {
 			all = false
@@ -345,45 +345,45 @@
 	case !all:
 		b.knowsAllSince = 0
 	case b.knowsAllSince == 0:
-		b.knowsAllSince = w.now
+		b.knowsAllSince = sim.now
 	}
-	b.steerer.SetSettled(all && w.now.Sub(b.knowsAllSince) > 400)
+	b.steerer.SetSettled(all && sim.now.Sub(b.knowsAllSince) > 400)
 }
 
-func (w *simulation) flushBalancer(b *simBalancer) {
-	out := b.steerer.Take()
-	w.traceEvents(b.address, out.Events)
+func (sim *simulation) flushBalancer(b *simBalancer) {
+	out := b.steerer.TakeOutcome()
+	sim.traceEvents(b.address, out.Events)
 	for _, s := range out.Sends {
-		w.sendFromBalancer(b, s)
+		sim.sendFromBalancer(b, s)
 	}
 	for _, r := range out.Resets {
-		w.resetCaller(r.Flow, "a balancer")
+		sim.resetCaller(r.Flow, "a balancer")
 	}
 }
 
-func (w *simulation) sendFromBalancer(b *simBalancer, s Send) {
+func (sim *simulation) sendFromBalancer(b *simBalancer, s Send) {
 	p := copyParcel(s.Parcel)
-	for _, relay := range w.balancers {
+	for _, relay := range sim.balancers {
 		if relay.address != s.To {
 			continue
 		}
-		w.transmit(b.address, relay.address, func() {
+		sim.transmit(b.address, relay.address, func() {
 			if relay.up {
-				relay.steerer.RelayQuestions(w.now, b.address, p)
-				w.flushBalancer(relay)
+				relay.steerer.RelayQuestions(sim.now, b.address, p)
+				sim.flushBalancer(relay)
 			}
 		})
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		if a.address != s.To {
 			continue
 		}
-		w.transmit(b.address, a.address, func() {
+		sim.transmit(b.address, a.address, func() {
 			if !a.up {
 				return
 			}
-			a.tracker.HandleParcel(w.now, b.address, p, packetSegment(p))
-			w.flushAgent(a)
+			a.tracker.HandleParcel(sim.now, b.address, p, packetSegment(p))
+			sim.flushAgent(a)
 		})
 	}
 }
--- a/internal/process/directory/directory.go
+++ b/internal/process/directory/directory.go
@@ -32,8 +32,8 @@
 	Name    string         `json:"name"`
 	Address netip.AddrPort `json:"address"`
 	Domain  string         `json:"domain"`
-	// Share is its CPU share, in thousandths of a core; zero when not known.
-	Share uint32 `json:"share,omitempty"`
+	// CPUShare is its share of a core, in thousandths; zero if unknown.
+	CPUShare uint32 `json:"share,omitempty"`
 }
 
 // Directory reads and writes the entries.
--- a/internal/process/streamagent/agent.go
+++ b/internal/process/streamagent/agent.go
@@ -226,9 +226,9 @@
 	if now := a.deps.Clock.Now(); a.tracker.ConditionChanged(now) {
 		a.tracker.SendReport(now, a.balancers.All(now))
 	}
-	out := a.tracker.Take()
+	out := a.tracker.TakeOutcome()
 	for _, d := range out.Deliveries {
-		a.deps.Codec.Mark(d.Packet, d.Echo)
+		a.deps.Codec.Mark(d.Packet, d.Mark)
 		a.write(d.Packet, a.settings.Target)
 	}
 	for _, packet := range out.Answers {
--- a/internal/process/streamagent/balancers.go
+++ b/internal/process/streamagent/balancers.go
@@ -11,8 +11,8 @@
 const (
 	// loadedReportInterval is the interval of reports to balancers of the agent's own
 	// failure domain while the target's slots are in use. startupReportInterval is the
-	// one, during startupPeriod, for balancers there that were never heard. Otherwise it
-	// is stream.ReportEvery.
+	// one, during startupPeriod, for balancers there that were never heard from. Otherwise
+	// it is stream.ReportInterval.
 	loadedReportInterval  = 150 * clock.Millis(1)
 	startupReportInterval = 50 * clock.Millis(1)
 	startupPeriod         = 4 * clock.Second
@@ -44,7 +44,7 @@
 	// domain is its failure domain; empty while unknown.
 	domain string
 	// lastInterval is the interval that preceded the last periodic report. It doubles
-	// during startupPeriod while the balancer was never heard.
+	// during startupPeriod while the balancer was never heard from.
 	lastInterval clock.Millis
 }
 
@@ -135,11 +135,11 @@
 }
 
 // reportInterval returns the interval of unsolicited reports to a balancer, and whether
-// it is sent any. loaded tells whether the target's slots are in use.
+// it is sent any. loaded reports whether the target's slots are in use.
 //
 // Balancers of the agent's own failure domain probe the target and pass its state on to
 // those of other domains. Unsolicited reports cover a local balancer that does not know
-// the target yet: one that was never heard may be starting while callers wait. If no
+// the target yet: one that was never heard from may be starting while callers wait. If no
 // local balancer probes, all known balancers are sent reports.
 func (bs *Balancers) reportInterval(now clock.Millis, b *balancer, loaded bool) (clock.Millis, bool) {
 	starting := now.Sub(bs.startedAt) < startupPeriod
@@ -230,7 +230,7 @@
 	return to
 }
 
-// removeSilent removes the balancers that were not heard for balancerRetention, but
+// removeSilent removes the balancers that were not heard from for balancerRetention, but
 // keeps at least one.
 func (bs *Balancers) removeSilent(now clock.Millis) {
 	for at, b := range bs.known {
--- a/internal/process/streambalancer/balancer.go
+++ b/internal/process/streambalancer/balancer.go
@@ -268,7 +268,7 @@
 		b.handleNews(now, from, p.News)
 	case wire.Verb_VERB_OWNERS:
 		if p.Owners != nil {
-			n := b.steerer.Inherit(now, p.Owners.Owners)
+			n := b.steerer.AddOwners(now, p.Owners.Owners)
 			if n == 0 {
 				break
 			}
@@ -293,7 +293,7 @@
 // flush sends what the steerer has decided. The caller holds the lock, so that packets of a
 // flow stay in order.
 func (b *Balancer) flush() {
-	out := b.steerer.Take()
+	out := b.steerer.TakeOutcome()
 	for _, s := range out.Sends {
 		if s.Parcel.Verb == wire.Verb_VERB_CARRY || s.Parcel.Verb == wire.Verb_VERB_OPEN {
 			b.forwarded.Inc(1)
@@ -369,7 +369,7 @@
 	b.cancel()
 	err := errs.Combine(errs.Wrap(b.edge.Close()), b.parcels.Close(), errs.Wrap(b.tableListener.Close()))
 	if err != nil {
-		b.deps.Log.Warn().Str("event", "stop").Err(err).Msg("closing sockets failed")
+		b.deps.Log.Warn().Str("event", "stop").Err(err).Msg("closing the sockets failed")
 	}
 	b.background.Wait()
 }
--- a/internal/process/streambalancer/checkpoints.go
+++ b/internal/process/streambalancer/checkpoints.go
@@ -19,13 +19,13 @@
 	reloadDelay        = 2 * time.Second
 )
 
-// CheckpointStore stores the checkpoints of a failure domain, one sheet for each shard.
+// CheckpointStore stores the checkpoints of a failure domain, which are split into shards.
 type CheckpointStore interface {
-	// Load reads the sheet of a shard, or returns platform.ErrNotFound,
+	// Load reads a shard, or returns platform.ErrNotFound,
 	// checkpoint.ErrUnreadable or ErrFormat.
 	Load(ctx context.Context, shard int) (checkpoint.Shard, error)
-	// Write replaces the sheet that was last loaded or written. platform.ErrConflict means
-	// that the stored sheet is a different one.
+	// Write replaces the shard that was last loaded or written. platform.ErrConflict means
+	// that the stored shard is a different one.
 	Write(ctx context.Context, s *checkpoint.Shard) error
 }
 
@@ -74,7 +74,7 @@
 	b.deps.Log.Info().Str("event", "keeper").Bool("keeping", on).Send()
 }
 
-// loadShards reads the stored sheets before anything is written. Otherwise what agents sent
+// loadShards reads the stored shards before anything is written. Otherwise what agents sent
 // to an earlier keeper would be lost.
 func (b *Balancer) loadShards(ctx context.Context) bool {
 	for shard := 0; shard < b.shardCount(); shard++ {
@@ -104,10 +104,10 @@
 	case errors.Is(err, platform.ErrNotFound):
 		return true
 	case errors.Is(err, checkpoint.ErrUnreadable):
-		b.reportCheckpointError(err, "stored checkpoint sheet is unreadable and will be replaced")
+		b.reportCheckpointError(err, "stored checkpoint shard is unreadable and will be replaced")
 		return true
 	default:
-		b.reportCheckpointError(err, "loading a checkpoint sheet failed")
+		b.reportCheckpointError(err, "loading a checkpoint shard failed")
 		return false
 	}
 }
@@ -117,7 +117,7 @@
 	b.deps.Scope.Counter("nocheckpoint").Inc(1)
 }
 
-// writeDueShards writes the sheets that are due and acknowledges the agents' checkpoints.
+// writeDueShards writes the shards that are due and acknowledges the agents' checkpoints.
 func (b *Balancer) writeDueShards(ctx context.Context) {
 	b.mu.Lock()
 	now := b.deps.Clock.Now()
@@ -146,7 +146,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
-		b.reportCheckpointError(err, "writing a checkpoint sheet failed")
+		b.reportCheckpointError(err, "writing a checkpoint shard failed")
 		b.keeper.WriteFailed(s.Index)
 		return
 	}
--- a/internal/process/streambalancer/config.go
+++ b/internal/process/streambalancer/config.go
@@ -189,7 +189,7 @@
 // others.
 func (b *Balancer) register(ctx context.Context) {
 	entry := directory.Entry{
-		Name: b.settings.Name, Address: b.settings.Parcels, Domain: b.settings.Domain, Share: b.settings.CPUShare,
+		Name: b.settings.Name, Address: b.settings.Parcels, Domain: b.settings.Domain, CPUShare: b.settings.CPUShare,
 	}
 	pause := minRegisterDelay
 	for !b.tryRegister(ctx, entry) {
@@ -226,6 +226,6 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range entries {
-		b.peers.Learn(b.deps.Clock.Now(), e.Address, Peer{Name: e.Name, Domain: e.Domain, CPUShare: e.Share})
+		b.peers.Learn(b.deps.Clock.Now(), e.Address, Peer{Name: e.Name, Domain: e.Domain, CPUShare: e.CPUShare})
 	}
 }
--- a/internal/process/streambalancer/restart_test.go
+++ b/internal/process/streambalancer/restart_test.go
@@ -94,14 +94,14 @@
 	f.run(leaves)
 	s := f.processes[size.balancers]
 	now := f.syncClock(s)
-	s.holder.RecordLeave(now)
+	s.tracker.RecordLeave(now)
 	var to []netip.AddrPort
 	for j := range size.balancers {
 		if f.byAddress[peerAddress(j)].domain == s.domain {
 			to = append(to, peerAddress(j))
 		}
 	}
-	s.holder.SendReport(now, to)
+	s.tracker.SendReport(now, to)
 	f.flush(s)
 	f.run(leaves + 50_000)
 	for _, b := range f.processes[:size.balancers] {
--- a/internal/process/streambalancer/sim_test.go
+++ b/internal/process/streambalancer/sim_test.go
@@ -70,7 +70,7 @@
 	// busyUntil is when it has handled everything that has arrived.
 	busyUntil float64
 	balancer  *Balancer
-	holder    *stream.Tracker
+	tracker   *stream.Tracker
 	clock     *clock.Manual
 	// reportBalancers are the balancers to which an agent reports.
 	reportBalancers *streamagent.Balancers
@@ -184,7 +184,7 @@
 	if p.Verb == wire.Verb_VERB_PROBE {
 		to.reportBalancers.RecordProbe(now, from, p.Report.Domain)
 	}
-	to.holder.HandleParcel(now, from, p, nil)
+	to.tracker.HandleParcel(now, from, p, nil)
 	f.flush(to)
 }
 
@@ -196,7 +196,7 @@
 }
 
 func (f *simFleet) flush(s *simProcess) {
-	for _, send := range s.holder.Take().Sends {
+	for _, send := range s.tracker.TakeOutcome().Sends {
 		_, _ = simLink{f, s}.Send(send.To, send.Parcel)
 	}
 }
@@ -261,7 +261,7 @@
 func (f *simFleet) unheard(b *Balancer) int {
 	n := 0
 	for _, s := range f.processes {
-		if s.holder == nil {
+		if s.tracker == nil {
 			continue
 		}
 		if t, ok := b.steerer.Targets.Find(s.address); !ok || t.HeardAt == 0 {
@@ -318,11 +318,11 @@
 // probe it.
 func (f *simFleet) startAgent(s *simProcess, i, balancers int) {
 	now := f.syncClock(s)
-	s.holder = stream.NewTracker(now, stream.TrackerSettings{
+	s.tracker = stream.NewTracker(now, stream.TrackerSettings{
 		Name: fmt.Sprintf("side-place-%s-%d", s.domain, i), Domain: s.domain, Service: "one", Epoch: uint64(s.startAt) + 1,
 		Port: 7000, MaxFlows: 100, FlowTTL: clock.Minute, Heartbeat: 1200, HeartbeatTimeout: 3600,
 	})
-	s.holder.HandleHeartbeat(now, stream.Heartbeat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
+	s.tracker.HandleHeartbeat(now, stream.Heartbeat{Service: "one", Born: 1, Sequence: 1, Slots: 2})
 	s.reportBalancers = streamagent.NewBalancers(now, s.domain)
 	f.schedule(60_000, func() {
 		for j := range balancers {
@@ -334,8 +334,8 @@
 	var step func()
 	step = func() {
 		now := f.syncClock(s)
-		s.holder.SendReport(now, s.reportBalancers.DueForReport(now, s.holder.Loaded()))
-		s.holder.Tick(now)
+		s.tracker.SendReport(now, s.reportBalancers.DueForReport(now, s.tracker.Loaded()))
+		s.tracker.Tick(now)
 		f.flush(s)
 		f.schedule(50_000, step)
 	}
