--- a/internal/process/agent/load.go
+++ b/internal/process/agent/load.go
@@ -219,7 +219,7 @@
 	return true
 }
 
-// notifyHomeEnded tells a flow's home that the flow has ended.
+// notifyHomeEnded notifies a flow's home that the flow has ended.
 func (a *Agent) notifyHomeEnded(f *owner.Flow) {
 	view := a.view.Load()
 	if f.Home == view.Self {
--- a/internal/process/agent/tunnel.go
+++ b/internal/process/agent/tunnel.go
@@ -94,7 +94,7 @@
 // the lease time was answered.
 //
 // A process that was paused may have been superseded. It queues what it reads until a
-// heartbeat sent after the pause is answered; that answer tells it about the successor.
+// heartbeat sent after the pause is answered; that answer reports the successor.
 func (a *Agent) fenced(now clock.Millis) bool {
 	return now.Sub(clock.Millis(a.leaseStart.Load())) > a.lease()
 }
--- a/internal/process/balancer/balancer.go
+++ b/internal/process/balancer/balancer.go
@@ -114,7 +114,7 @@
 	publishedEdges atomic.Pointer[map[uint32]*edge]
 
 	mu         sync.Mutex
-	book       *spread.Replica
+	replica    *spread.Replica
 	table      *member.Table
 	self       member.Member
 	tracked    map[member.Key]*trackedTarget
@@ -147,9 +147,9 @@
 	}
 	b := &Balancer{
 		settings: settings, deps: deps, count: newCounters(deps.Scope),
-		hints:  target.NewHints(settings.Limits),
-		sealer: envelope.NewSealer(deps.Ring, envelope.MaxSize(settings.MTU, settings.Tunnel)-envelope.WalkReserve),
-		book:   spread.NewReplica(), table: member.NewTable(),
+		hints:   target.NewHints(settings.Limits),
+		sealer:  envelope.NewSealer(deps.Ring, envelope.MaxSize(settings.MTU, settings.Tunnel)-envelope.WalkReserve),
+		replica: spread.NewReplica(), table: member.NewTable(),
 		tracked: map[member.Key]*trackedTarget{}, targetKeys: map[heartbeatKey]member.Key{}, serviceChanges: map[string]uint64{}, edges: map[uint32]*edge{},
 		client: client, updates: make(chan update, maxQueuedUpdates), heartbeats: make(chan queuedHeartbeat, maxQueuedHeartbeats),
 	}
@@ -216,14 +216,14 @@
 func (b *Balancer) Version() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.book.Version()
+	return b.replica.Version()
 }
 
 // Ready returns why the balancer is not ready, or an empty string.
 func (b *Balancer) Ready() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.book.Version() == 0 {
+	if b.replica.Version() == 0 {
 		return "no configuration yet"
 	}
 	if b.self.State != member.Alive {
@@ -237,7 +237,7 @@
 func (b *Balancer) Stop(ctx context.Context) {
 	b.setLeaving()
 	b.mu.Lock()
-	linger := b.book.State().Root.Timing.LingerTime
+	linger := b.replica.State().Root.Timing.LingerTime
 	b.mu.Unlock()
 	b.sendLeaves(ctx, linger)
 	b.removeRosterEntry(ctx)
--- a/internal/process/balancer/beat.go
+++ b/internal/process/balancer/beat.go
@@ -77,7 +77,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.count.beats.Inc(1)
-	reply := &wire.Beat{Number: h.heartbeat.Number, Version: b.book.Version()}
+	reply := &wire.Beat{Number: h.heartbeat.Number, Version: b.replica.Version()}
 	known, ok := b.table.Get(b.targetKeys[heartbeatKey{service: h.service, target: h.target}])
 	if !ok {
 		return reply
--- a/internal/process/balancer/contact.go
+++ b/internal/process/balancer/contact.go
@@ -56,7 +56,7 @@
 // buildReply is called with mu held.
 func (b *Balancer) buildReply(r *wire.Announce, m member.Member) *wire.Announced {
 	known, _ := b.table.Get(m.Key)
-	state := b.book.State()
+	state := b.replica.State()
 	reply := &wire.Announced{
 		Version: state.Root.Version, Incarnation: known.Incarnation,
 		Suspected: known.Suspected, Sequence: known.Sequence,
@@ -103,7 +103,7 @@
 // buildView builds what is sent to a target about its service and its contacts.
 func (b *Balancer) buildView(c *trackedTarget, m member.Member) {
 	c.revision = b.viewRevision(m.Service)
-	state := b.book.State()
+	state := b.replica.State()
 	c.peers = nil
 	for _, p := range b.table.Targets(m.Service) {
 		if _, ok := candidate(state, &p.Member); !ok {
--- a/internal/process/balancer/handle.go
+++ b/internal/process/balancer/handle.go
@@ -79,7 +79,7 @@
 func (b *Balancer) status() *wire.Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &wire.Status{Self: b.self.Wire(), Version: b.book.Version(), Hints: uint64(b.hints.Len())}
+	s := &wire.Status{Self: b.self.Wire(), Version: b.replica.Version(), Hints: uint64(b.hints.Len())}
 	s.Members = wireMembers(b.table.Filter(func(*member.Member) bool { return true }))
 	for k, c := range b.tracked {
 		m, ok := b.table.Get(k)
--- a/internal/process/balancer/relay.go
+++ b/internal/process/balancer/relay.go
@@ -81,7 +81,7 @@
 // loadConfiguration loads the platform's configuration and applies it if it is later.
 func (b *Balancer) loadConfiguration(ctx context.Context) (uint64, error) {
 	b.mu.Lock()
-	known := b.book.State()
+	known := b.replica.State()
 	b.mu.Unlock()
 	state, version, err := approval.LoadKnown(ctx, b.deps.Store, known)
 	if err != nil {
--- a/internal/process/balancer/sync.go
+++ b/internal/process/balancer/sync.go
@@ -16,7 +16,7 @@
 // state.
 func (b *Balancer) syncWith(ctx context.Context, peer netip.AddrPort) error {
 	b.mu.Lock()
-	request := &wire.Sync{From: b.settings.Name, Version: b.book.Version(), Digest: b.table.Digest()}
+	request := &wire.Sync{From: b.settings.Name, Version: b.replica.Version(), Digest: b.table.Digest()}
 	b.mu.Unlock()
 	var reply wire.Synced
 	if err := b.call(ctx, peer, control.Sync, request, &reply); err != nil {
@@ -48,8 +48,8 @@
 func (b *Balancer) sendMissingDeltas(ctx context.Context, peer netip.AddrPort, reply *wire.Synced) {
 	b.mu.Lock()
 	var deltas []*config.Delta
-	if reply.Version < b.book.Version() {
-		deltas, _ = b.book.DeltasSince(reply.Version)
+	if reply.Version < b.replica.Version() {
+		deltas, _ = b.replica.DeltasSince(reply.Version)
 	}
 	b.mu.Unlock()
 	for _, d := range deltas {
@@ -103,7 +103,7 @@
 func (b *Balancer) handleSync(r *wire.Sync) *wire.Synced {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	reply := &wire.Synced{Version: b.book.Version(), Digest: b.table.Digest()}
+	reply := &wire.Synced{Version: b.replica.Version(), Digest: b.table.Digest()}
 	if r.Version < reply.Version {
 		b.addConfiguration(reply, r.Version)
 	}
@@ -114,18 +114,18 @@
 }
 
 func (b *Balancer) addConfiguration(reply *wire.Synced, from uint64) {
-	if deltas, ok := b.book.DeltasSince(from); ok {
+	if deltas, ok := b.replica.DeltasSince(from); ok {
 		reply.Deltas, _ = json.Marshal(deltas)
 		return
 	}
-	reply.State, _ = json.Marshal(b.book.State())
+	reply.State, _ = json.Marshal(b.replica.State())
 }
 
 // applyDelta applies the next version and propagates it. behind reports that a
 // version before it is missing.
 func (b *Balancer) applyDelta(d *config.Delta) (behind bool) {
 	b.mu.Lock()
-	applied, behind := b.book.ApplyDelta(d)
+	applied, behind := b.replica.ApplyDelta(d)
 	if applied {
 		b.activateVersion()
 	}
@@ -139,7 +139,7 @@
 // applyState applies a whole configuration, if it is a later one.
 func (b *Balancer) applyState(s *config.State) {
 	b.mu.Lock()
-	d, applied := b.book.Replace(s)
+	d, applied := b.replica.Replace(s)
 	if applied {
 		b.activateVersion()
 	}
@@ -152,7 +152,7 @@
 // activateVersion puts a new version into force. It is called with mu held.
 func (b *Balancer) activateVersion() {
 	b.count.applied.Inc(1)
-	state := b.book.State()
+	state := b.replica.State()
 	b.bindEdges(state)
 	b.rebuildSnapshot()
 	b.deps.Log.Info().Str("event", "version").Uint64("version", state.Root.Version).Msg("configuration in force")
--- a/internal/process/balancer/tick.go
+++ b/internal/process/balancer/tick.go
@@ -52,7 +52,7 @@
 func (b *Balancer) timing() config.Timing {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.book.State().Root.Timing
+	t := b.replica.State().Root.Timing
 	if t.HeartbeatInterval <= 0 {
 		return config.Timing{HeartbeatInterval: initialHeartbeat, SuspectTimeout: 4 * clock.Second, Retention: initialRetention}
 	}
--- a/internal/process/balancer/tunnel.go
+++ b/internal/process/balancer/tunnel.go
@@ -129,7 +129,7 @@
 	b.count.returned.Inc(1)
 }
 
-// sendLeaves tells the agents several times that this balancer is about to stop,
+// sendLeaves notifies the agents several times that this balancer is about to stop,
 // while it keeps serving. A datagram may be lost; three in a row rarely are, and
 // an agent that missed all of them answers through another balancer at the flow's
 // next datagram.
--- a/internal/process/balancer/view.go
+++ b/internal/process/balancer/view.go
@@ -15,13 +15,13 @@
 
 // viewRevision returns the current revision of a service. It is called with mu held.
 func (b *Balancer) viewRevision(service string) viewRevision {
-	return viewRevision{version: b.book.Version(), balancers: b.balancerChanges, service: b.serviceChanges[service]}
+	return viewRevision{version: b.replica.Version(), balancers: b.balancerChanges, service: b.serviceChanges[service]}
 }
 
 // rebuildSnapshot rebuilds the snapshot of all services. It is called with mu held,
 // and so is updateSnapshot.
 func (b *Balancer) rebuildSnapshot() {
-	state := b.book.State()
+	state := b.replica.State()
 	s := &snapshot{sets: make(map[uint32]*target.Set, len(state.Root.Services))}
 	b.targetKeys = map[heartbeatKey]member.Key{}
 	for _, e := range state.Root.Services {
@@ -37,7 +37,7 @@
 	if len(records) == 0 {
 		return
 	}
-	state := b.book.State()
+	state := b.replica.State()
 	next := &snapshot{sets: maps.Clone(b.snapshot.Load().sets)}
 	for i := range records {
 		m := &records[i]
--- a/internal/process/decisions/decisions.go
+++ b/internal/process/decisions/decisions.go
@@ -5,7 +5,7 @@
 //
 // Each decision is one line: its kind as "event", the flow, the target, the age
 // of the input that it is based on, and the version in force. Lines are rate
-// limited: all decisions are counted, and a line tells how many were omitted
+// limited: all decisions are counted, and a line reports how many were omitted
 // before it. Writing never blocks: if the reader of standard output is slow,
 // lines are lost, but no packet is delayed.
 //
@@ -54,8 +54,8 @@
 
 // Writer returns a writer that never blocks, and a function that writes the buffered
 // lines. That function returns after closeTimeout even if nobody reads, so that a
-// process can stop. Lines that do not fit the buffer are lost, and a log line tells how
-// many.
+// process can stop. Lines that do not fit the buffer are lost, and a log line reports
+// how many.
 func Writer(w io.Writer) (io.Writer, func()) {
 	out := diode.NewWriter(w, maxBufferedLines, 0, func(missed int) {
 		// The diode calls this from its own goroutine, after it has freed buffer space.
--- a/internal/process/decisions/decisions_test.go
+++ b/internal/process/decisions/decisions_test.go
@@ -21,8 +21,8 @@
 }
 
 // Nobody reads standard output any more, while decisions go on. No packet may wait for
-// their lines: recording thousands of events takes no longer than counting them. A line
-// tells a reader that returns how many lines were lost.
+// their lines: recording thousands of events takes no longer than counting them. When a
+// reader returns, a line reports how many lines were lost.
 func TestBlockedReaderDoesNotDelayDecisions(t *testing.T) {
 	read, write := io.Pipe()
 	out, closeLog := Writer(write)
@@ -78,7 +78,7 @@
 }
 
 // A burst of decisions exceeds the rate limit of lines. Each decision is counted, and the
-// next line tells how many were omitted.
+// next line reports how many were omitted.
 func TestLinesAreRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	scope := tally.NewTestScope("", nil)
--- a/internal/process/decisions/malformed.go
+++ b/internal/process/decisions/malformed.go
@@ -17,7 +17,7 @@
 )
 
 // MalformedRecorder logs and counts malformed datagrams. All are counted; the log lines
-// are rate limited, and each tells how many were omitted before it. It is safe for
+// are rate limited, and each reports how many were omitted before it. It is safe for
 // concurrent use.
 type MalformedRecorder struct {
 	log     zerolog.Logger
--- a/internal/process/parcels/traffic.go
+++ b/internal/process/parcels/traffic.go
@@ -50,7 +50,7 @@
 	return strings.ToLower(strings.TrimPrefix(wire.Verb(verb).String(), "VERB_"))
 }
 
-// RecordSent counts a sent parcel; remote tells whether it leaves the failure domain.
+// RecordSent counts a sent parcel; remote reports whether it leaves the failure domain.
 func (t *Traffic) RecordSent(verb wire.Verb, remote bool, size int) {
 	v := int(verb)
 	if v < 0 || v >= verbCount {
