--- a/cmd/wagtailtray/story.go
+++ b/cmd/wagtailtray/story.go
@@ -28,11 +28,11 @@
 		}
 		all = append(all, lines...)
 	}
-	story := decisions.Timeline(all, c.Flow)
-	if len(story) == 0 {
+	timeline := decisions.Timeline(all, c.Flow)
+	if len(timeline) == 0 {
 		return fmt.Errorf("%w: %s in %d lines", errNoLogLines, c.Flow, len(all))
 	}
-	return decisions.WriteTimeline(os.Stdout, story)
+	return decisions.WriteTimeline(os.Stdout, timeline)
 }
 
 func readLog(path string) ([]decisions.Line, error) {
