--- a/internal/connection/stream/agent_test.go
+++ b/internal/connection/stream/agent_test.go
@@ -62,7 +62,7 @@
 	out := a.tracker.TakeOutcome()
 	sim.traceEvents(a.address, out.Events)
 	for _, d := range out.Deliveries {
-		packet := mark(d.Packet, d.Mark, false)
+		packet := mark(d.Packet, d.PacketMark, false)
 		sim.schedule(0, func() { sim.targetReceives(a, packet) })
 	}
 	for _, packet := range out.Answers {
--- a/internal/connection/stream/outcome.go
+++ b/internal/connection/stream/outcome.go
@@ -22,8 +22,8 @@
 
 // Delivery is a packet to deliver to the target, with the mark to set in it.
 type Delivery struct {
-	Packet []byte
-	Mark   uint32
+	Packet     []byte
+	PacketMark uint32
 }
 
 // EventKind is the name of a decision in logs and counters.
--- a/internal/connection/stream/tracker.go
+++ b/internal/connection/stream/tracker.go
@@ -192,7 +192,7 @@
 }
 
 func (tr *Tracker) deliver(from netip.AddrPort, packet []byte) {
-	tr.out.Deliveries = append(tr.out.Deliveries, Delivery{Packet: packet, Mark: markOf(from)})
+	tr.out.Deliveries = append(tr.out.Deliveries, Delivery{Packet: packet, PacketMark: markOf(from)})
 }
 
 // markOf returns the mark for packets from a balancer: its address, which is enough to
--- a/internal/process/streamagent/agent.go
+++ b/internal/process/streamagent/agent.go
@@ -228,7 +228,7 @@
 	}
 	out := a.tracker.TakeOutcome()
 	for _, d := range out.Deliveries {
-		a.deps.Codec.Mark(d.Packet, d.Mark)
+		a.deps.Codec.Mark(d.Packet, d.PacketMark)
 		a.write(d.Packet, a.settings.Target)
 	}
 	for _, packet := range out.Answers {
