--- a/cmd/experiment/approvals.go
+++ b/cmd/experiment/approvals.go
@@ -18,7 +18,7 @@
 // Run measures and writes.
 func (c *approvalsCommand) Run() error {
 	size := capacity.FleetSize{Balancers: c.Balancers, Targets: c.Targets, Services: c.Services, Approvals: c.Approvals, Window: time.Second}
-	all, err := capacity.Approvals(context.Background(), size, progress)
+	all, err := capacity.MeasureApprovals(context.Background(), size, progress)
 	if err != nil {
 		return err
 	}
--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	in.Idle = c.Idle
+	in.IdleMemory = c.Idle
 	if c.Daemons != "" {
 		if err := readJSON(c.Daemons, &in.Daemons); err != nil {
 			return err
--- a/internal/capacity/approvals.go
+++ b/internal/capacity/approvals.go
@@ -16,63 +16,65 @@
 	standin "github.com/wagtailtray/wagtailtray/internal/standin/platform"
 )
 
-// Trouble is what goes wrong while changes are approved.
-type Trouble struct {
+// Scenario is a set of faults injected while configuration changes are approved.
+type Scenario struct {
 	Name string
-	// Lost is the share of calls between balancers that fail, half of them
-	// after they ran.
-	Lost float64
-	// Relays kills one relay of each failure domain right before the first
+	// CallLossRate is the share of calls between balancers that fail, half of
+	// them after the callee has executed the call.
+	CallLossRate float64
+	// KillRelays kills one relay of each failure domain right before the first
 	// approval.
-	Relays bool
-	// Platform is how the platform behaves.
-	Platform standin.Faults
-	// Outage stops the platform right after each approval.
-	Outage bool
-	// Replaced ends every balancer right after each approval, and starts new
-	// ones.
-	Replaced bool
+	KillRelays bool
+	// PlatformFaults are the faults of the platform stand-in.
+	PlatformFaults standin.Faults
+	// PlatformOutage makes the platform unavailable right after each approval.
+	PlatformOutage bool
+	// ReplaceBalancers kills every balancer right after each approval, and
+	// starts new ones.
+	ReplaceBalancers bool
 }
 
-// Troubles are the rows of the page.
-func Troubles() []Trouble {
-	return []Trouble{
+// Scenarios returns the scenarios in the order of the page's rows.
+func Scenarios() []Scenario {
+	return []Scenario{
 		{Name: "nothing"},
-		{Name: "one relay of each failure domain is dead", Relays: true},
-		{Name: "5 % of the calls between balancers fail", Lost: 0.05},
-		{Name: "both", Relays: true, Lost: 0.05},
-		{Name: "every answer of the platform takes 500 ms", Platform: standin.Faults{SlowMillis: 500}},
-		{Name: "the platform goes down for 2 s after each approval", Outage: true},
-		{Name: "every balancer is replaced at once after each approval", Replaced: true},
+		{Name: "one relay of each failure domain is dead", KillRelays: true},
+		{Name: "5 % of the calls between balancers fail", CallLossRate: 0.05},
+		{Name: "both", KillRelays: true, CallLossRate: 0.05},
+		{Name: "every answer of the platform takes 500 ms", PlatformFaults: standin.Faults{SlowMillis: 500}},
+		{Name: "the platform goes down for 2 s after each approval", PlatformOutage: true},
+		{Name: "every balancer is replaced at once after each approval", ReplaceBalancers: true},
 	}
 }
 
-// Spreading is how long approvals took under one trouble.
-type Spreading struct {
-	Trouble Trouble
-	// Delays are milliseconds from the approval's answer until the version
-	// was in force in every balancer, sorted.
-	Delays []float64
-	// Reverted counts balancers that went to a lower version.
+// ApprovalResult is the propagation delay of approvals in one scenario.
+type ApprovalResult struct {
+	Scenario Scenario
+	// DelayMillis are the times from the response to an approval until its
+	// version was in force in every balancer, sorted.
+	DelayMillis []float64
+	// Reverted counts the times a balancer went back to a lower version.
 	Reverted int64
 }
 
-// outageTime is how long an outage lasts that follows an approval.
-const outageTime = 2 * time.Second
+// outageDuration is the length of a platform outage after an approval.
+const outageDuration = 2 * time.Second
 
-// lostAfter is when a lost call is given up: after one try to send it again.
-const lostAfter = 200 * time.Millisecond
+// lostCallTimeout is when a lost call fails: after the time for one
+// retransmission.
+const lostCallTimeout = 200 * time.Millisecond
 
-var errLost = errs.New("capacity: the call was lost")
+var errCallLost = errs.New("capacity: simulated call loss")
 
-// lossy loses calls: one half of them before they run, the other half after.
-type lossy struct {
+// lossyCaller fails a share of calls: half of them before they are executed, the
+// other half after.
+type lossyCaller struct {
 	balancer.Caller
-	share float64
+	lossRate float64
 }
 
-func (l *lossy) Call(ctx context.Context, to netip.AddrPort, m control.Method, request, reply any) error {
-	if rand.Float64() >= l.share {
+func (l *lossyCaller) Call(ctx context.Context, to netip.AddrPort, m control.Method, request, reply any) error {
+	if rand.Float64() >= l.lossRate {
 		return l.Caller.Call(ctx, to, m, request, reply)
 	}
 	if rand.IntN(2) == 0 {
@@ -80,110 +82,111 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(lostAfter):
+	case <-time.After(lostCallTimeout):
 	}
-	return errLost
+	return errCallLost
 }
 
-// Approvals approves changes in a fleet under each trouble.
-func Approvals(ctx context.Context, size FleetSize, progress func(string, ...any)) ([]Spreading, error) {
-	var all []Spreading
-	for _, t := range Troubles() {
-		s, err := ApproveUnder(ctx, size, t)
+// MeasureApprovals runs all scenarios, each with a fleet of its own.
+func MeasureApprovals(ctx context.Context, size FleetSize, progress func(string, ...any)) ([]ApprovalResult, error) {
+	var all []ApprovalResult
+	for _, t := range Scenarios() {
+		s, err := RunScenario(ctx, size, t)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", t.Name, err)
 		}
-		progress("%s: %v ms", t.Name, s.Delays)
+		progress("%s: %v ms", t.Name, s.DelayMillis)
 		all = append(all, s)
 	}
 	return all, nil
 }
 
-// ApproveUnder approves changes in a fleet of its own under one trouble. With a
-// window the fleet's start is over before the first approval.
-func ApproveUnder(ctx context.Context, size FleetSize, t Trouble) (Spreading, error) {
+// RunScenario starts a fleet and approves changes in it under the faults of t. If
+// size.Window is set, it waits for the traffic of the start to end first.
+func RunScenario(ctx context.Context, size FleetSize, t Scenario) (ApprovalResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f := newFleet(size)
-	f.lost = t.Lost
-	stop, err := f.prepare(ctx)
+	f.callLossRate = t.CallLossRate
+	stop, err := f.startDependencies(ctx)
 	if err != nil {
-		return Spreading{}, err
+		return ApprovalResult{}, err
 	}
 	defer stop()
-	if err := f.start(ctx); err != nil {
-		return Spreading{}, err
+	if err := f.startBalancers(ctx); err != nil {
+		return ApprovalResult{}, err
 	}
-	defer f.kill()
+	defer f.killBalancers()
 	if size.Window > 0 {
-		f.settle()
+		f.waitSettled()
 	}
-	if t.Relays {
+	if t.KillRelays {
 		f.killRelays()
 	}
-	out := Spreading{Trouble: t}
+	out := ApprovalResult{Scenario: t}
 	for i := range size.Approvals {
-		f.platform.SetFaults(t.Platform)
-		took, err := f.approveOnce(ctx, i, func() error { return f.afterwards(ctx, t) })
+		f.platform.SetFaults(t.PlatformFaults)
+		took, err := f.approveOnce(ctx, i, func() error { return f.injectFaults(ctx, t) })
 		if err != nil {
 			return out, err
 		}
-		out.Delays = append(out.Delays, took)
-		// The next approval must not meet what is left of this outage.
-		f.outage.Wait()
+		out.DelayMillis = append(out.DelayMillis, took)
+		// This outage must not overlap the next approval.
+		f.pendingOutage.Wait()
 	}
-	slices.Sort(out.Delays)
+	slices.Sort(out.DelayMillis)
 	out.Reverted = f.reverted.Load()
 	return out, nil
 }
 
-// killRelays ends one of the balancers of each domain that watch the platform.
+// killRelays kills one relay of each failure domain. Relays are the balancers
+// that watch the platform.
 func (f *fleet) killRelays() {
-	done := map[string]bool{}
+	seen := map[string]bool{}
 	for i, b := range f.balancers {
 		domain := domainOf(i)
-		if !done[domain] && b.Relays() {
-			done[domain] = true
+		if !seen[domain] && b.Relays() {
+			seen[domain] = true
 			b.Kill()
-			f.dead[i] = true
+			f.killed[i] = true
 		}
 	}
 }
 
-// afterwards is what happens right after an approval.
-func (f *fleet) afterwards(ctx context.Context, t Trouble) error {
-	if t.Outage {
+// injectFaults causes the faults that follow an approval in scenario t.
+func (f *fleet) injectFaults(ctx context.Context, t Scenario) error {
+	if t.PlatformOutage {
 		f.platform.SetFaults(standin.Faults{Down: true})
-		f.outage.Go(func() {
-			time.Sleep(outageTime)
+		f.pendingOutage.Go(func() {
+			time.Sleep(outageDuration)
 			f.platform.SetFaults(standin.Faults{})
 		})
 	}
-	if !t.Replaced {
+	if !t.ReplaceBalancers {
 		return nil
 	}
-	f.kill()
+	f.killBalancers()
 	for i := range f.versions {
-		// The new ones have nothing but the platform.
+		// New balancers have no configuration: they read it from the platform.
 		f.versions[i].Store(0)
 	}
 	f.state = nil
-	return f.start(ctx)
+	return f.startBalancers(ctx)
 }
 
-// ApprovalsPage writes the page of approvals under trouble.
-func ApprovalsPage(size FleetSize, all []Spreading) string {
+// ApprovalsPage returns the page APPROVALS.md.
+func ApprovalsPage(size FleetSize, all []ApprovalResult) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, approvalsIntro, size.Balancers, domains, size.Targets, size.Services, size.Approvals)
+	fmt.Fprintf(&b, approvalsIntroText, size.Balancers, domains, size.Targets, size.Services, size.Approvals)
 	b.WriteString("| trouble | least | median | most | balancers that reverted |\n| --- | --- | --- | --- | --- |\n")
 	for _, s := range all {
-		n := len(s.Delays)
-		fmt.Fprintf(&b, "| %s | %.0f | %.0f | %.0f | %d |\n", s.Trouble.Name, s.Delays[0], s.Delays[n/2], s.Delays[n-1], s.Reverted)
+		n := len(s.DelayMillis)
+		fmt.Fprintf(&b, "| %s | %.0f | %.0f | %.0f | %d |\n", s.Scenario.Name, s.DelayMillis[0], s.DelayMillis[n/2], s.DelayMillis[n-1], s.Reverted)
 	}
 	return b.String()
 }
 
-const approvalsIntro = `# Approvals under trouble
+const approvalsIntroText = `# Approvals under trouble
 
 Written by
 
--- a/internal/capacity/kept.go
+++ b/internal/capacity/checkpoints.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// keptWrites is how many writes a second checkpoints may make: a tenth of the
-	// platform's several hundred.
-	keptWrites = 40
-	// keptValue is the largest value of the platform, in bytes.
-	keptValue = 1 << 20
-	// keptCallers is how many callers share a network of 256 addresses.
-	keptCallers = 256
+	// maxCheckpointWrites is how many writes a second checkpoints may make: a tenth
+	// of the several hundred that the platform takes.
+	maxCheckpointWrites = 40
+	// maxValueBytes is the largest value that the platform stores.
+	maxValueBytes = 1 << 20
+	// callersPerNetwork is how many callers share a network of 256 addresses.
+	callersPerNetwork = 256
 )
 
-// kept is what the checkpoints of one failure domain take.
-type kept struct {
-	targets, flows float64
-	objects        int
-	bytes          int
-	held           int
-	pause          clock.Millis
+// checkpointUsage is what the checkpoints of one failure domain take up in the
+// platform's store. storedFlows is how many flows they hold.
+type checkpointUsage struct {
+	targets, flowsPerTarget float64
+	objects                 int
+	bytes                   int
+	storedFlows             int
+	writeInterval           clock.Millis
 }
 
-// keep lets a keeper write a failure domain at a size once.
-func keep(s Size) kept {
-	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: keptValue, Life: clock.Minute, Writes: keptWrites})
+// measureCheckpoints has a keeper produce the checkpoints of one failure domain of
+// a deployment of size s once.
+func measureCheckpoints(s Size) checkpointUsage {
+	k := checkpoint.NewKeeper(checkpoint.KeeperSettings{Value: maxValueBytes, Life: clock.Minute, Writes: maxCheckpointWrites})
 	k.SetDomains(domains)
-	out := kept{targets: s.Targets / domains, flows: s.Flows / s.Targets}
+	out := checkpointUsage{targets: s.Targets / domains, flowsPerTarget: s.Flows / s.Targets}
 	next := 0
 	for i := range int(out.targets) {
 		agent := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 		e := checkpoint.Entry{Agent: agent, Service: "service", Born: 1_800_000_000_000, Writer: 1_800_000_000_000}
-		for range int(out.flows) {
-			e.Flows = e.Flows.Add(checkpoint.Flow{ID: keptFlow(next)})
+		for range int(out.flowsPerTarget) {
+			e.Flows = e.Flows.Add(checkpoint.Flow{ID: checkpointFlow(next)})
 			next++
 		}
 		for _, part := range checkpoint.NewWriter().Parts(&e) {
-			// Parts that a Writer has made can be read.
+			// No error to expect: the parts come from a Writer.
 			_ = k.Hear(0, 0, agent, part)
 		}
 	}
@@ -56,16 +58,16 @@
 		out.objects++
 		out.bytes += len(data)
 		for i := range sheet.Entries {
-			out.held += sheet.Entries[i].Flows.Len()
+			out.storedFlows += sheet.Entries[i].Flows.Len()
 		}
 	}
-	out.pause = k.Pause()
+	out.writeInterval = k.Pause()
 	return out
 }
 
-// keptFlow spreads callers over networks and ports.
-func keptFlow(i int) segment.Flow {
-	network := i / keptCallers
+// checkpointFlow returns the i'th flow. Callers are spread over networks and ports.
+func checkpointFlow(i int) segment.Flow {
+	network := i / callersPerNetwork
 	caller := netip.AddrFrom4([4]byte{100, 64 + byte(network>>8), byte(network), byte(i)})
 	return segment.Flow{
 		Caller:   netip.AddrPortFrom(caller, uint16(1024+i%60_000)),
@@ -73,21 +75,21 @@
 	}
 }
 
-// keptPage is the part about open flows in the platform's store.
-func keptPage(b *strings.Builder) {
-	const mega, seconds = 1e6, 1000.0
-	s := TwoYears
-	k := keep(s)
-	pause := float64(k.pause) / seconds
+// writeCheckpoints writes the section about open flows in the platform's store.
+func writeCheckpoints(b *strings.Builder) {
+	const bytesPerMB, millisPerSecond = 1e6, 1000.0
+	s := PlannedSize
+	k := measureCheckpoints(s)
+	pause := float64(k.writeInterval) / millisPerSecond
 	fmt.Fprintf(b, "## Open flows in the platform's store\n\n")
-	fmt.Fprintf(b, "Flows that are connections only; see design/checkpoints.md. Worked out by running the decisions for one failure domain of %.0f targets with %.0f flows each.\n\n", k.targets, k.flows)
+	fmt.Fprintf(b, "Flows that are connections only; see design/checkpoints.md. Worked out by running the decisions for one failure domain of %.0f targets with %.0f flows each.\n\n", k.targets, k.flowsPerTarget)
 	fmt.Fprintf(b, "| part | at the size of two years |\n| --- | --- |\n")
-	fmt.Fprintf(b, "| objects of a failure domain | %d, of %.2f MB on the mean |\n", k.objects, float64(k.bytes)/float64(k.objects)/mega)
-	fmt.Fprintf(b, "| flows in them | %.0f %%, those that were used last |\n", 100*float64(k.held)/(k.targets*k.flows))
+	fmt.Fprintf(b, "| objects of a failure domain | %d, of %.2f MB on the mean |\n", k.objects, float64(k.bytes)/float64(k.objects)/bytesPerMB)
+	fmt.Fprintf(b, "| flows in them | %.0f %%, those that were used last |\n", 100*float64(k.storedFlows)/(k.targets*k.flowsPerTarget))
 	fmt.Fprintf(b, "| pause between two writes of all of them | %.0f s |\n", pause)
-	fmt.Fprintf(b, "| writes of all failure domains | %.2f/s of %d/s that checkpoints may make |\n", float64(k.objects)*domains/pause, keptWrites)
+	fmt.Fprintf(b, "| writes of all failure domains | %.2f/s of %d/s that checkpoints may make |\n", float64(k.objects)*domains/pause, maxCheckpointWrites)
 	fmt.Fprintf(b, "| bytes written by a keeper | %.0f B/s, %.0f B/s for each of its targets |\n", float64(k.bytes)/pause, float64(k.bytes)/pause/k.targets)
-	fmt.Fprintf(b, "| memory of a keeper for flows | %.2f MB |\n", float64(k.held)*16/mega)
-	fmt.Fprintf(b, "| flows opened in one pause, of those open | %.0f %% |\n\n", 100*s.NewFlows*pause/s.Flows)
+	fmt.Fprintf(b, "| memory of a keeper for flows | %.2f MB |\n", float64(k.storedFlows)*16/bytesPerMB)
+	fmt.Fprintf(b, "| flows opened in one pause, of those open | %.0f %% |\n\n", 100*s.NewFlowsPerSecond*pause/s.Flows)
 	b.WriteString("A caller whose flow is not kept finds out by its next packet, as without checkpoints.\n\n")
 }
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -33,7 +33,7 @@
 	"github.com/wagtailtray/wagtailtray/pkg/wire"
 )
 
-// FleetSize is how many of each a fleet run has.
+// FleetSize is the size of a fleet run. Window is how long it is measured.
 type FleetSize struct {
 	Balancers, Targets, Services int
 	Window                       time.Duration
@@ -41,38 +41,38 @@
 }
 
 const (
-	domains      = 7
-	startingOnce = 16
-	inForceLimit = 30 * time.Second
-	beatEvery    = 900 * time.Millisecond
+	domains             = 7
+	maxConcurrentStarts = 16
+	inForceTimeout      = 30 * time.Second
+	heartbeatInterval   = 900 * time.Millisecond
 )
 
-// fleet is many balancers in one process, with the platform's stand-in, and
-// heartbeats of targets that exist as records only.
+// fleet runs many balancers in one process, with the platform's stand-in and
+// simulated heartbeats: its targets exist as records only.
 type fleet struct {
-	size      FleetSize
-	ring      key.Ring
-	store     *platform.Client
-	platform  *standin.Server
-	balancers []*balancer.Balancer
-	versions  []atomic.Uint64
-	targets   []member.Member
-	state     *config.State
-	warnings  lines
-	// lost is the share of calls between balancers that fail.
-	lost float64
-	// dead balancers were killed on purpose.
-	dead []bool
-	// outage is under way until it has ended.
-	outage sync.WaitGroup
-	// reverted counts versions that came into force below an earlier one.
+	size       FleetSize
+	ring       key.Ring
+	client     *platform.Client
+	platform   *standin.Server
+	balancers  []*balancer.Balancer
+	versions   []atomic.Uint64
+	targets    []member.Member
+	state      *config.State
+	suspicions suspicionCounter
+	// callLossRate is the share of calls between balancers that fail.
+	callLossRate float64
+	// killed marks balancers that a scenario has killed.
+	killed []bool
+	// pendingOutage is done when the platform outage is over.
+	pendingOutage sync.WaitGroup
+	// reverted counts versions that came into force in a balancer after a higher one.
 	reverted atomic.Int64
 }
 
 func newFleet(size FleetSize) *fleet {
 	return &fleet{
-		size: size, versions: make([]atomic.Uint64, size.Balancers), dead: make([]bool, size.Balancers),
-		state: state(size.Services, 1),
+		size: size, versions: make([]atomic.Uint64, size.Balancers), killed: make([]bool, size.Balancers),
+		state: newState(size.Services, 1),
 	}
 }
 
@@ -80,120 +80,122 @@
 	return fmt.Sprintf("d%d", i%domains)
 }
 
-// RunFleet starts a fleet, lets it run, and measures it. All its traffic is on
+// RunFleet starts a fleet and measures it in operation. All its traffic is on
 // loopback.
-func RunFleet(ctx context.Context, size FleetSize, progress func(string, ...any)) (Fleet, error) {
+func RunFleet(ctx context.Context, size FleetSize, progress func(string, ...any)) (FleetResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f := newFleet(size)
-	stop, err := f.prepare(ctx)
+	stop, err := f.startDependencies(ctx)
 	if err != nil {
-		return Fleet{}, err
+		return FleetResult{}, err
 	}
 	defer stop()
-	before, resident := memory(), residentMemory()
-	if err := f.start(ctx); err != nil {
-		return Fleet{}, err
-	}
-	defer f.kill()
-	progress("%d balancers run", size.Balancers)
-	go f.beats(ctx)
-	settled := f.settle()
-	progress("settled after %.0f s", settled.Seconds())
-	out := Fleet{Settled: settled.Seconds(), Balancers: size.Balancers, Targets: size.Targets, Services: size.Services, Seconds: size.Window.Seconds()}
-	f.window(&out, before, resident)
-	progress("%d suspicions before, %d in the window", f.warnings.count.Load()-out.Suspicions, out.Suspicions)
-	progress("%.1f MB, %.2f %% of a core, %.0f bytes a second on loopback a balancer", out.Memory/1e6, out.Core*100, out.Bytes)
-	if err := f.approvals(ctx, &out); err != nil {
-		return Fleet{}, err
-	}
-	progress("in force everywhere after %v ms", out.Delays)
+	before, resident := memoryInUse(), residentMemory()
+	if err := f.startBalancers(ctx); err != nil {
+		return FleetResult{}, err
+	}
+	defer f.killBalancers()
+	progress("%d balancers are running", size.Balancers)
+	go f.sendHeartbeats(ctx)
+	settled := f.waitSettled()
+	progress("startup traffic ended after %.0f s", settled.Seconds())
+	out := FleetResult{SettleSeconds: settled.Seconds(), Balancers: size.Balancers, Targets: size.Targets, Services: size.Services, WindowSeconds: size.Window.Seconds()}
+	f.measureWindow(&out, before, resident)
+	progress("%d suspicions before the measurement, %d during it", f.suspicions.count.Load()-out.Suspicions, out.Suspicions)
+	progress("per balancer: %.1f MB, %.2f %% of a core, %.0f bytes/s on loopback", out.LiveMemory/1e6, out.CPUShare*100, out.BytesPerSecond)
+	if err := f.measureApprovals(ctx, &out); err != nil {
+		return FleetResult{}, err
+	}
+	progress("approvals in force in all balancers after %v ms", out.DelayMillis)
 	return out, nil
 }
 
-// prepare starts what the fleet needs around it.
-func (f *fleet) prepare(ctx context.Context) (func(), error) {
+// startDependencies starts the platform's stand-in and the control server of the
+// targets. It returns a function that stops them.
+func (f *fleet) startDependencies(ctx context.Context) (func(), error) {
 	var err error
-	if f.ring, err = key.Parse(fleetKey); err != nil {
+	if f.ring, err = key.Parse(testKey); err != nil {
 		return nil, err
 	}
 	f.platform = standin.NewServer()
-	address, end, err := serve(f.platform)
+	address, closePlatform, err := serve(f.platform)
 	if err != nil {
 		return nil, err
 	}
-	f.store = platform.NewClient(address)
+	f.client = platform.NewClient(address)
 	plan := approval.NewPlan(&config.State{}, f.state, "fleet", "")
-	if f.state, err = approval.Commit(ctx, f.store, plan); err != nil {
+	if f.state, err = approval.Commit(ctx, f.client, plan); err != nil {
 		return nil, err
 	}
-	pings, err := control.Serve(ctx, any0, f.ring, pong{})
+	controlServer, err := control.Serve(ctx, loopbackAnyPort, f.ring, emptyHandler{})
 	if err != nil {
 		return nil, err
 	}
 	for i := range f.size.Targets {
 		m := targetRecord(i, f.size.Services)
-		// Nothing may be sent beyond this machine. While the fleet starts,
-		// no heartbeats are sent yet; the targets answer when they are
-		// asked, so that nobody suspects them.
-		m.Control, m.Tunnels, m.Upstream = pings.Address(), []netip.AddrPort{any0}, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 9)
+		// Nothing may be sent beyond this machine. No heartbeats are sent
+		// while the fleet starts, so the targets answer probes: otherwise
+		// balancers would suspect them.
+		m.Control, m.Tunnels, m.Upstream = controlServer.Address(), []netip.AddrPort{loopbackAnyPort}, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 9)
 		f.targets = append(f.targets, m)
 	}
 	return func() {
-		pings.Close()
-		end()
-		f.store.Close()
+		controlServer.Close()
+		closePlatform()
+		f.client.Close()
 	}, nil
 }
 
-// lines counts the suspicions in all balancers' logs.
-type lines struct {
+// suspicionCounter is a log writer that counts the suspicions logged by all
+// balancers.
+type suspicionCounter struct {
 	count atomic.Int64
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (c *suspicionCounter) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte(`"event":"suspected"`)) {
-		l.count.Add(1)
+		c.count.Add(1)
 	}
 	return len(p), nil
 }
 
-// pong answers for the targets.
-type pong struct{}
+// emptyHandler answers the calls to the targets.
+type emptyHandler struct{}
 
-func (pong) Handle(context.Context, control.Method, json.RawMessage) (any, error) {
+func (emptyHandler) Handle(context.Context, control.Method, json.RawMessage) (any, error) {
 	return &wire.Empty{}, nil
 }
 
-func (f *fleet) start(ctx context.Context) error {
+func (f *fleet) startBalancers(ctx context.Context) error {
 	f.balancers = make([]*balancer.Balancer, f.size.Balancers)
-	if err := f.startOne(ctx, 0, nil); err != nil {
+	if err := f.startBalancer(ctx, 0, nil); err != nil {
 		return err
 	}
 	var group errgroup.Group
-	group.SetLimit(startingOnce)
+	group.SetLimit(maxConcurrentStarts)
 	first := f.balancers[0].Control()
 	for i := 1; i < f.size.Balancers; i++ {
-		group.Go(func() error { return f.startOne(ctx, i, []netip.AddrPort{first}) })
+		group.Go(func() error { return f.startBalancer(ctx, i, []netip.AddrPort{first}) })
 	}
 	return group.Wait()
 }
 
-func (f *fleet) startOne(ctx context.Context, i int, peers []netip.AddrPort) error {
+func (f *fleet) startBalancer(ctx context.Context, i int, peers []netip.AddrPort) error {
 	var caller balancer.Caller
-	if f.lost > 0 {
+	if f.callLossRate > 0 {
 		client, err := control.NewClient(f.ring)
 		if err != nil {
 			return err
 		}
-		caller = &lossy{Caller: client, share: f.lost}
+		caller = &lossyCaller{Caller: client, lossRate: f.callLossRate}
 	}
 	b, err := balancer.New(balancer.Settings{
-		Name: fmt.Sprintf("balancer-%03d", i), Domain: domainOf(i), Control: any0, Tunnel: local,
+		Name: fmt.Sprintf("balancer-%03d", i), Domain: domainOf(i), Control: loopbackAnyPort, Tunnel: loopback,
 		Ports: 1, Peers: peers, Workers: 1, MTU: 1500, Limits: target.Limits{Hints: 64, Pending: 64, Walks: 1},
 	}, balancer.Deps{
-		Ring: f.ring, Store: f.store, Clock: clock.System(), Log: zerolog.New(&f.warnings).Level(zerolog.WarnLevel), Scope: tally.NoopScope, Listen: noEdges,
-		Caller: caller, OnVersion: func(v uint64) { f.saw(i, v) },
+		Ring: f.ring, Store: f.client, Clock: clock.System(), Log: zerolog.New(&f.suspicions).Level(zerolog.WarnLevel), Scope: tally.NoopScope, Listen: refuseListen,
+		Caller: caller, OnVersion: func(v uint64) { f.recordVersion(i, v) },
 	})
 	if err != nil {
 		return err
@@ -205,14 +207,14 @@
 	return b.Start(ctx)
 }
 
-// saw notes a version that has come into force in a balancer.
-func (f *fleet) saw(i int, version uint64) {
+// recordVersion records the version that has come into force in balancer i.
+func (f *fleet) recordVersion(i int, version uint64) {
 	if old := f.versions[i].Swap(version); old > version {
 		f.reverted.Add(1)
 	}
 }
 
-func (f *fleet) kill() {
+func (f *fleet) killBalancers() {
 	var all sync.WaitGroup
 	for _, b := range f.balancers {
 		all.Go(b.Kill)
@@ -220,38 +222,38 @@
 	all.Wait()
 }
 
-// beats sends every target's heartbeats to its first contact, as its agent
-// would, and every seventh to all of them.
-func (f *fleet) beats(ctx context.Context) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(any0))
+// sendHeartbeats sends every target's heartbeats as its agent would: to the first
+// contact, and every seventh to all contacts.
+func (f *fleet) sendHeartbeats(ctx context.Context) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopbackAnyPort))
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	go drain(conn)
+	go discardDatagrams(conn)
 	sealer := envelope.NewSealer(f.ring, 1472)
-	to := f.contacts()
-	gap := time.NewTicker(beatEvery / 50)
-	defer gap.Stop()
+	contacts := f.contactAddresses()
+	ticker := time.NewTicker(heartbeatInterval / 50)
+	defer ticker.Stop()
 	for n := 0; ctx.Err() == nil; n++ {
-		<-gap.C
+		<-ticker.C
 		for i := n % 50; i < len(f.targets); i += 50 {
-			out, err := sealer.Seal(nil, f.beat(i, uint32(n/50)))
+			out, err := sealer.Seal(nil, f.newHeartbeat(i, uint32(n/50)))
 			if err != nil {
 				return
 			}
 			last := 1
 			if n/50%7 == 0 {
-				last = len(to[i])
+				last = len(contacts[i])
 			}
-			for _, a := range to[i][:last] {
+			for _, a := range contacts[i][:last] {
 				_, _ = conn.WriteToUDPAddrPort(out, a)
 			}
 		}
 	}
 }
 
-func drain(conn *net.UDPConn) {
+func discardDatagrams(conn *net.UDPConn) {
 	buffer := make([]byte, 1500)
 	for {
 		if _, err := conn.Read(buffer); err != nil {
@@ -260,7 +262,7 @@
 	}
 }
 
-func (f *fleet) beat(i int, number uint32) *wire.Envelope {
+func (f *fleet) newHeartbeat(i int, number uint32) *wire.Envelope {
 	m := &f.targets[i]
 	service, _ := f.state.Service(m.Service)
 	return &wire.Envelope{
@@ -269,8 +271,8 @@
 	}
 }
 
-// contacts returns where each target's heartbeats go.
-func (f *fleet) contacts() [][]netip.AddrPort {
+// contactAddresses returns the addresses of each target's contacts.
+func (f *fleet) contactAddresses() [][]netip.AddrPort {
 	var all []member.Since
 	for i, b := range f.balancers {
 		m := balancerRecord(i)
@@ -287,84 +289,87 @@
 }
 
 const (
-	settleStep = 5 * time.Second
-	settleMost = 2 * time.Minute
-	// settledBytes is the traffic a second for each balancer below which the
-	// start is over: all tables are the same and only heartbeats and
+	settleInterval = 5 * time.Second
+	settleTimeout  = 2 * time.Minute
+	// settledBytesPerSecond is the traffic for each balancer below which the
+	// startup is over: all tables are the same and only heartbeats and
 	// comparisons are left.
-	settledBytes = 4000
+	settledBytesPerSecond = 4000
 )
 
-// settle waits until the start of all balancers at once is over.
-func (f *fleet) settle() time.Duration {
+// waitSettled waits until the traffic caused by starting all balancers at once is
+// over, and returns the time that took.
+func (f *fleet) waitSettled() time.Duration {
 	start := time.Now()
-	for time.Since(start) < settleMost {
+	for time.Since(start) < settleTimeout {
 		before := loopbackBytes()
-		time.Sleep(settleStep)
-		if (loopbackBytes()-before)/settleStep.Seconds() < settledBytes*float64(f.size.Balancers) {
+		time.Sleep(settleInterval)
+		if (loopbackBytes()-before)/settleInterval.Seconds() < settledBytesPerSecond*float64(f.size.Balancers) {
 			break
 		}
 	}
 	return time.Since(start)
 }
 
-// window measures the fleet while nothing changes.
-func (f *fleet) window(out *Fleet, before, resident float64) {
+// measureWindow measures the fleet while nothing changes. before and resident are
+// the memory of the process without balancers.
+func (f *fleet) measureWindow(out *FleetResult, before, resident float64) {
 	n := float64(f.size.Balancers)
-	out.Resident = (residentMemory() - resident) / n
-	out.Memory = (memory() - before) / n
-	warned := f.warnings.count.Load()
-	busyBefore, bytesBefore, start := busy(), loopbackBytes(), time.Now()
+	out.ResidentMemory = (residentMemory() - resident) / n
+	out.LiveMemory = (memoryInUse() - before) / n
+	suspicionsBefore := f.suspicions.count.Load()
+	busyBefore, bytesBefore, start := cpuTime(), loopbackBytes(), time.Now()
 	time.Sleep(f.size.Window)
-	took := time.Since(start).Seconds()
-	out.Core = (busy() - busyBefore) / 1e9 / took / n
-	out.Bytes = (loopbackBytes() - bytesBefore) / took / n
-	out.Suspicions = f.warnings.count.Load() - warned
+	elapsed := time.Since(start).Seconds()
+	out.CPUShare = (cpuTime() - busyBefore) / 1e9 / elapsed / n
+	out.BytesPerSecond = (loopbackBytes() - bytesBefore) / elapsed / n
+	out.Suspicions = f.suspicions.count.Load() - suspicionsBefore
 	calls := f.platform.Calls()
-	out.Reads, out.Writes, out.Waiting = calls.Reads, calls.Writes, calls.Waiting
+	out.Reads, out.Writes, out.WaitingWatches = calls.Reads, calls.Writes, calls.Waiting
 }
 
-// approvals approves changes and waits for each to be in force everywhere.
-func (f *fleet) approvals(ctx context.Context, out *Fleet) error {
+// measureApprovals approves changes and waits for each to be in force in all
+// balancers.
+func (f *fleet) measureApprovals(ctx context.Context, out *FleetResult) error {
 	for i := range f.size.Approvals {
 		took, err := f.approveOnce(ctx, i, func() error { return nil })
 		if err != nil {
 			return err
 		}
-		out.Delays = append(out.Delays, took)
+		out.DelayMillis = append(out.DelayMillis, took)
 	}
 	return nil
 }
 
-// approveOnce approves the drain of one target, lets something happen, and
-// returns the milliseconds until the version is in force everywhere.
-func (f *fleet) approveOnce(ctx context.Context, i int, then func() error) (float64, error) {
-	base, err := approval.Load(ctx, f.store)
+// approveOnce approves the drain of one target, calls afterCommit, and returns the
+// milliseconds until the version is in force in all balancers.
+func (f *fleet) approveOnce(ctx context.Context, i int, afterCommit func() error) (float64, error) {
+	base, err := approval.Load(ctx, f.client)
 	if err != nil {
 		return 0, err
 	}
 	m := &f.targets[i]
 	next := config.WithDrain(base, config.Drain{Service: m.Service, Target: m.Name}, true)
-	state, err := approval.Commit(ctx, f.store, approval.NewPlan(base, next, "fleet", ""))
+	state, err := approval.Commit(ctx, f.client, approval.NewPlan(base, next, "fleet", ""))
 	if err != nil {
 		return 0, err
 	}
 	start := time.Now()
-	if err := then(); err != nil {
+	if err := afterCommit(); err != nil {
 		return 0, err
 	}
-	for !f.everywhere(state.Root.Version) {
-		if time.Since(start) > inForceLimit {
-			return 0, errs.New("version %d is not in force everywhere after %s", state.Root.Version, inForceLimit)
+	for !f.inForceEverywhere(state.Root.Version) {
+		if time.Since(start) > inForceTimeout {
+			return 0, errs.New("version %d is not in force in all balancers after %s", state.Root.Version, inForceTimeout)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return float64(time.Since(start).Milliseconds()), nil
 }
 
-func (f *fleet) everywhere(version uint64) bool {
+func (f *fleet) inForceEverywhere(version uint64) bool {
 	for i := range f.versions {
-		if !f.dead[i] && f.versions[i].Load() < version {
+		if !f.killed[i] && f.versions[i].Load() < version {
 			return false
 		}
 	}
@@ -373,17 +378,18 @@
 
 // residentMemory returns this process's resident memory, in bytes.
 func residentMemory() float64 {
-	return procNumber("/proc/self/status", "VmRSS:", 0) * 1024
+	return readProcValue("/proc/self/status", "VmRSS:", 0) * 1024
 }
 
 // loopbackBytes returns the bytes that the loopback interface has received,
 // with the headers of IP, TCP and UDP.
 func loopbackBytes() float64 {
-	return procNumber("/proc/net/dev", "lo:", 0)
+	return readProcValue("/proc/net/dev", "lo:", 0)
 }
 
-// procNumber returns a number behind a word of a file.
-func procNumber(file, word string, field int) float64 {
+// readProcValue returns the number in the given field after the first occurrence
+// of word in a file; zero if there is none.
+func readProcValue(file, word string, field int) float64 {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return 0
--- a/internal/capacity/meter.go
+++ b/internal/capacity/meter.go
@@ -9,24 +9,24 @@
 	"github.com/zeebo/errs"
 )
 
-// meter passes connections on and counts their bytes, both ways.
-type meter struct {
+// countingProxy is a TCP proxy that counts the bytes of its connections, both ways.
+type countingProxy struct {
 	listener net.Listener
 	address  netip.AddrPort
 	bytes    atomic.Int64
 }
 
-func newMeter(to netip.AddrPort) (*meter, error) {
-	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(any0))
+func newCountingProxy(to netip.AddrPort) (*countingProxy, error) {
+	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(loopbackAnyPort))
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	m := &meter{listener: l, address: l.Addr().(*net.TCPAddr).AddrPort()}
+	m := &countingProxy{listener: l, address: l.Addr().(*net.TCPAddr).AddrPort()}
 	go m.accept(to)
 	return m, nil
 }
 
-func (m *meter) accept(to netip.AddrPort) {
+func (m *countingProxy) accept(to netip.AddrPort) {
 	for {
 		in, err := m.listener.Accept()
 		if err != nil {
@@ -37,27 +37,27 @@
 			_ = in.Close()
 			continue
 		}
-		go m.pass(in, out)
-		go m.pass(out, in)
+		go m.copyBytes(in, out)
+		go m.copyBytes(out, in)
 	}
 }
 
-func (m *meter) pass(from, to net.Conn) {
-	_, _ = io.Copy(&counted{Writer: to, bytes: &m.bytes}, from)
+func (m *countingProxy) copyBytes(from, to net.Conn) {
+	_, _ = io.Copy(&countingWriter{Writer: to, bytes: &m.bytes}, from)
 	_ = from.Close()
 	_ = to.Close()
 }
 
-type counted struct {
+type countingWriter struct {
 	io.Writer
 	bytes *atomic.Int64
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	c.bytes.Add(int64(len(p)))
 	return c.Writer.Write(p)
 }
 
-func (m *meter) close() {
+func (m *countingProxy) close() {
 	_ = m.listener.Close()
 }
--- a/internal/capacity/sweep.go
+++ b/internal/capacity/sweep.go
@@ -12,72 +12,75 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// ErrSweep means that a text holds no table of a sweep, or one that cannot be read.
-var ErrSweep = errs.New("capacity: no table of a sweep")
+// ErrInvalidSweep means that a text holds no table of a sweep, or a malformed one.
+var ErrInvalidSweep = errs.New("capacity: missing or malformed table of a sweep")
 
-// Sweep is one day played at several sizes of a deployment by the users' bench.
+// Sweep is the result of the users' benchmark, which simulates one day at several
+// sizes of a deployment.
 type Sweep struct {
 	Deployment string `json:"deployment"`
-	// VMs are the sizes.
+	// VMs are the sizes, as numbers of VMs.
 	VMs  []float64  `json:"vms"`
 	Rows []SweepRow `json:"rows"`
 }
 
-// SweepRow is one load or time of the busiest process, or the longest time, at each size.
+// SweepRow is one metric at each size: the load of the busiest process, or the longest
+// time.
 type SweepRow struct {
 	Name    string    `json:"name"`
 	Busiest []float64 `json:"busiest"`
 }
 
 const (
-	// sweepTitle begins the line before a table's sizes.
-	sweepTitle = "middle / busiest"
-	// leastSwept is the smallest number of VMs that a power is fitted to: below it the
-	// mechanisms for many failure domains and neighbours rest.
-	leastSwept = 30
-	// sweepTarget is the size that the users' sheet looks ahead to.
-	sweepTarget = 493
-	// steepest bounds a power that is carried on.
-	steepest = 2
+	// sweepTableHeader is the prefix of the line before a table's sizes.
+	sweepTableHeader = "middle / busiest"
+	// minFittedVMs is the smallest number of VMs that an exponent is fitted to: below
+	// it the mechanisms for many failure domains and neighbours are inactive.
+	minFittedVMs = 30
+	// extrapolatedVMs is the future size given in the users' sheet.
+	extrapolatedVMs = 493
+	// maxExponent limits the exponent of an extrapolation.
+	maxExponent = 2
 )
 
-// ParseSweep reads the table that the bench prints after a sweep.
+// ParseSweep parses the table that the benchmark prints after a sweep.
 func ParseSweep(deployment string, r io.Reader) (Sweep, error) {
 	s := Sweep{Deployment: deployment}
 	lines := bufio.NewScanner(r)
 	found := false
 	for !found && lines.Scan() {
-		found = strings.HasPrefix(lines.Text(), sweepTitle)
+		found = strings.HasPrefix(lines.Text(), sweepTableHeader)
 	}
 	if !found || !lines.Scan() {
-		return s, errs.Combine(ErrSweep, lines.Err())
+		return s, errs.Combine(ErrInvalidSweep, lines.Err())
 	}
 	for _, field := range strings.Fields(lines.Text()) {
-		if size, err := strconv.ParseFloat(field, 64); err == nil && len(s.VMs) < powerAt(lines.Text()) {
+		if size, err := strconv.ParseFloat(field, 64); err == nil && len(s.VMs) < columnsBeforePower(lines.Text()) {
 			s.VMs = append(s.VMs, size)
 		}
 	}
 	for lines.Scan() {
-		row, ok := parseRow(lines.Text(), len(s.VMs))
+		row, ok := parseSweepRow(lines.Text(), len(s.VMs))
 		if !ok {
 			break
 		}
 		s.Rows = append(s.Rows, row)
 	}
 	if len(s.VMs) == 0 || len(s.Rows) == 0 {
-		return s, errs.Combine(ErrSweep, lines.Err())
+		return s, errs.Combine(ErrInvalidSweep, lines.Err())
 	}
 	return s, errs.Wrap(lines.Err())
 }
 
-// powerAt is how many columns of sizes there are before that of the powers.
-func powerAt(header string) int {
+// columnsBeforePower returns the number of columns with sizes, which precede the column
+// of the exponents.
+func columnsBeforePower(header string) int {
 	before, _, _ := strings.Cut(header, "power")
 	return len(strings.Fields(before))
 }
 
-// parseRow reads a line such as "agent: memory MB   5.6 / 6.7   3.8 / 5.7   -0.1   5.4".
-func parseRow(line string, sizes int) (SweepRow, bool) {
+// parseSweepRow parses a line such as "agent: memory MB   5.6 / 6.7   3.8 / 5.7   -0.1   5.4".
+func parseSweepRow(line string, sizes int) (SweepRow, bool) {
 	parts := strings.Split(line, " / ")
 	if len(parts) != sizes+1 {
 		return SweepRow{}, false
@@ -97,53 +100,54 @@
 	return row, true
 }
 
-// Power is the power of the number of VMs with which a row grows, from leastSwept VMs on; zero
-// where it cannot be told.
-func (s *Sweep) Power(row SweepRow) float64 {
+// Exponent returns the exponent of the power law by which a row grows with the number of
+// VMs, fitted from minFittedVMs on; zero if there are fewer than two points.
+func (s *Sweep) Exponent(row SweepRow) float64 {
 	var xs, ys []float64
 	for i, vms := range s.VMs {
-		if vms >= leastSwept && i < len(row.Busiest) && row.Busiest[i] > 0 {
+		if vms >= minFittedVMs && i < len(row.Busiest) && row.Busiest[i] > 0 {
 			xs, ys = append(xs, math.Log(vms)), append(ys, math.Log(row.Busiest[i]))
 		}
 	}
 	if len(xs) < 2 {
 		return 0
 	}
-	_, power := stat.LinearRegression(xs, ys, nil, false)
-	return power
+	_, exponent := stat.LinearRegression(xs, ys, nil, false)
+	return exponent
 }
 
-// At carries a row on from the largest size to another one; what falls is taken as it is.
-func (s *Sweep) At(row SweepRow, vms float64) float64 {
+// Extrapolate returns the value of a row at a number of VMs, from that at the largest size.
+// A row that falls is taken as constant.
+func (s *Sweep) Extrapolate(row SweepRow, vms float64) float64 {
 	last := len(s.VMs) - 1
-	power := min(max(s.Power(row), 0), steepest)
-	return row.Busiest[last] * math.Pow(vms/s.VMs[last], power)
+	exponent := min(max(s.Exponent(row), 0), maxExponent)
+	return row.Busiest[last] * math.Pow(vms/s.VMs[last], exponent)
 }
 
-// sweepsPage is the part about the users' machines.
-func sweepsPage(b *strings.Builder, in *Inputs) {
+// writeSweeps writes the section about the runs on the users' machines.
+func writeSweeps(b *strings.Builder, in *Inputs) {
 	if len(in.Sweeps) == 0 {
 		return
 	}
-	b.WriteString(sweepsIntro)
+	b.WriteString(sweepsIntroText)
 	for i := range in.Sweeps {
 		s := &in.Sweeps[i]
 		fmt.Fprintf(b, "\n| %s, busiest or longest at VMs |", s.Deployment)
 		for _, vms := range s.VMs {
 			fmt.Fprintf(b, " %.0f |", vms)
 		}
-		fmt.Fprintf(b, " power | at %d |\n| --- |%s --- | --- |\n", sweepTarget, strings.Repeat(" --- |", len(s.VMs)))
+		fmt.Fprintf(b, " power | at %d |\n| --- |%s --- | --- |\n", extrapolatedVMs, strings.Repeat(" --- |", len(s.VMs)))
 		for _, row := range s.Rows {
 			fmt.Fprintf(b, "| %s |", row.Name)
 			for _, v := range row.Busiest {
 				fmt.Fprintf(b, " %.4g |", v)
 			}
-			fmt.Fprintf(b, " %.2f | %.3g |\n", s.Power(row), s.At(row, sweepTarget))
+			fmt.Fprintf(b, " %.2f | %.3g |\n", s.Exponent(row), s.Extrapolate(row, extrapolatedVMs))
 		}
 	}
 }
 
-const sweepsIntro = `
+const sweepsIntroText = `
 ## On the users' machines
 
 One day with faults played at several sizes by the users' bench (` + "`fleetbench sweep`" + `),
